--- a/packages/succession/__tests__/succession_turn.spec.ts
+++ b/packages/succession/__tests__/succession_row_writer.spec.ts
@@ -8,7 +8,7 @@
 import {describe, test} from 'node:test';
 
 import type {Succession} from '../src/succession_row';
-import {createTurn} from '../src/succession_turn';
+import {createTurn} from '../src/succession_row_writer';
 
 const TABLE = 'successions';
 const KEY = 'group/records';
--- a/packages/succession/src/succession.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -21,7 +21,7 @@
   type Succession,
 } from './succession_row';
 import {type ChangeOutcome, createSuccessionSteps} from './succession_steps';
-import {type SuccessionTurn, createTurn} from './succession_turn';
+import {type SuccessionTurn, createTurn} from './succession_row_writer';
 
 /** Why a primary is replaced. */
 export type SuccessionReason =
--- a/packages/succession/src/succession_steps.ts
+++ b/packages/succession/src/succession_steps.ts
@@ -17,7 +17,7 @@
 
 import {type StoppedTarget, chooseSuccessor} from './choose_successor';
 import type {OrderPromotion} from './succession_row';
-import type {SuccessionTurn} from './succession_turn';
+import type {SuccessionTurn} from './succession_row_writer';
 
 /** How a change ended; `overtaken`: another proxy goes on with it. */
 export type ChangeOutcome = 'done' | 'abandoned' | 'overtaken';
