--- a/packages/succession/__tests__/choose_successor.spec.ts
+++ b/packages/succession/__tests__/choose_successor.spec.ts
@@ -1,13 +1,16 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {type StoppedTarget, chooseSuccessor} from '../src/choose_successor';
+import {
+  type SuccessorCandidate,
+  chooseSuccessor,
+} from '../src/choose_successor';
 
 function stopped(
   target: string,
   position: number,
   isLeaving = false,
-): StoppedTarget {
+): SuccessorCandidate {
   const received = {term: 1, position};
   return {target, received, isLeaving, dataCentre: 'x'};
 }
@@ -17,52 +20,52 @@
     const choice = {
       stopped: [stopped('a', 4), stopped('b', 7)],
       unanswered: 0,
-      demotedAt: undefined,
+      demotedLogEnd: undefined,
     };
     expect(chooseSuccessor(choice)?.target).toEqual('b');
   });
 
-  test('is nobody while a replica has not answered', () => {
+  test('is not selected while a replica has not answered', () => {
     const choice = {
       stopped: [stopped('a', 4)],
       unanswered: 1,
-      demotedAt: undefined,
+      demotedLogEnd: undefined,
     };
     expect(chooseSuccessor(choice)).toEqual(undefined);
   });
 
-  test('is a leaving replica if only that holds the last commit', () => {
+  test('is a leaving replica if no other holds the last commit', () => {
     const choice = {
       stopped: [stopped('a', 4), stopped('b', 7, true)],
       unanswered: 0,
-      demotedAt: undefined,
+      demotedLogEnd: undefined,
     };
     expect(chooseSuccessor(choice)?.target).toEqual('b');
   });
 });
 
 describe('the successor of a demoted primary', () => {
-  const demotedAt = {term: 1, position: 7};
+  const demotedLogEnd = {term: 1, position: 7};
 
-  test('has reached its log end, whoever else is silent', () => {
+  test('has reached its log end, even if another replica is unresponsive', () => {
     const choice = {
       stopped: [stopped('a', 6), stopped('b', 7)],
       unanswered: 1,
-      demotedAt,
+      demotedLogEnd,
     };
     expect(chooseSuccessor(choice)?.target).toEqual('b');
   });
 
-  test('is nobody before one has', () => {
-    const choice = {stopped: [stopped('a', 6)], unanswered: 0, demotedAt};
+  test('is not selected until a replica has reached its log end', () => {
+    const choice = {stopped: [stopped('a', 6)], unanswered: 0, demotedLogEnd};
     expect(chooseSuccessor(choice)).toEqual(undefined);
   });
 
-  test('is one that stays, if any has reached it', () => {
+  test('is not a leaving replica if another has reached its log end', () => {
     const choice = {
       stopped: [stopped('a', 8, true), stopped('b', 7)],
       unanswered: 0,
-      demotedAt,
+      demotedLogEnd,
     };
     expect(chooseSuccessor(choice)?.target).toEqual('b');
   });
--- a/packages/succession/__tests__/succession_model.spec.ts
+++ b/packages/succession/__tests__/succession_model.spec.ts
@@ -4,8 +4,8 @@
 import {searchSuccession} from './succession_model';
 import {ALL_GUARDS, type Guards} from './succession_model_state';
 
-describe('every order of steps of two promoters', () => {
-  test('keeps each acknowledged commit', () => {
+describe('the succession model over all interleavings of two promoters', () => {
+  test('preserves every acknowledged commit', () => {
     const {states, counterexample} = searchSuccession(ALL_GUARDS);
     process.stdout.write(`# succession model: ${states} states\n`);
     expect(counterexample).toEqual(undefined);
@@ -13,7 +13,7 @@
   });
 
   for (const guard of Object.keys(ALL_GUARDS) as Array<keyof Guards>) {
-    test(`loses one without the guard ${guard}`, () => {
+    test(`loses an acknowledged commit without the guard ${guard}`, () => {
       const guards = {...ALL_GUARDS, [guard]: false};
       const {counterexample} = searchSuccession(guards);
       expect(counterexample === undefined).toEqual(false);
--- a/packages/succession/__tests__/succession_model.ts
+++ b/packages/succession/__tests__/succession_model.ts
@@ -1,8 +1,9 @@
 /**
- * A small model of a change of primary, for an exhaustive search: three targets,
- * two promoters, and messages that are lost or come late. The choice is the
- * product's own `chooseSuccessor`. A promoter that is never scheduled again has
- * died or stands still; one that is scheduled late thaws.
+ * Model of a change of primary for an exhaustive state search: three targets, two
+ * promoters (proxies that change the primary), and messages that are lost or
+ * delayed. The target is selected by the production `chooseSuccessor`. A promoter
+ * that is never scheduled again models a crashed or suspended process; one that is
+ * scheduled late models a process that resumes after a suspension.
  */
 import {chooseSuccessor} from '../src/choose_successor';
 
@@ -15,18 +16,18 @@
   type ModelRow,
   type ModelState,
   PROMOTERS,
-  START,
+  INITIAL_STATE,
   TARGETS,
 } from './succession_model_state';
 
-/** What a search found. */
+/** Result of a search. */
 export interface SearchResult {
   readonly states: number;
-  /** Steps to a promotion that loses a commit; undefined without one. */
+  /** Shortest sequence of steps that loses a commit; undefined if none does. */
   readonly counterexample: readonly string[] | undefined;
 }
 
-interface Step {
+interface ModelStep {
   readonly name: string;
   readonly state: ModelState;
 }
@@ -43,10 +44,10 @@
   return left.every((commit, index) => right[index] === commit);
 }
 
-/** A commit that one replica, or none, receives. */
-function* commitSteps(state: ModelState): Generator<Step> {
+/** A commit at the primary, received by one replica or by none. */
+function* commitSteps(state: ModelState): Generator<ModelStep> {
   const leader = at(state.targets, state.leader);
-  if (!leader.up || state.commits >= MAXIMUM_COMMITS) {
+  if (!leader.isRunning || state.commits >= MAXIMUM_COMMITS) {
     return;
   }
   const commit = `${leader.term}.${state.commits}`;
@@ -61,7 +62,7 @@
     const target = at(state.targets, replica);
     const mayReceive =
       replica !== state.leader &&
-      target.up &&
+      target.isRunning &&
       target.pausedAt <= target.term &&
       target.term === leader.term &&
       isPrefix(target.log, log);
@@ -74,18 +75,18 @@
   }
 }
 
-function* crashSteps(state: ModelState): Generator<Step> {
+function* crashSteps(state: ModelState): Generator<ModelStep> {
   const leader = at(state.targets, state.leader);
-  if (leader.up && state.crashes === 0) {
+  if (leader.isRunning && state.crashes === 0) {
     const targets = replaced(state.targets, state.leader, {
       ...leader,
-      up: false,
+      isRunning: false,
     });
-    yield {name: 'primary dies', state: {...state, targets, crashes: 1}};
+    yield {name: 'primary crashes', state: {...state, targets, crashes: 1}};
   }
 }
 
-function write(
+function writeRow(
   state: ModelState,
   guards: Guards,
   version: number,
@@ -106,25 +107,25 @@
   return {...state, promoters: replaced(state.promoters, index, promoter)};
 }
 
-/** Takes the row; a promoter may do so whatever the row says. */
+/** A promoter takes the row; possible in every phase of the row. */
 function* startSteps(
   state: ModelState,
   guards: Guards,
   index: number,
-): Generator<Step> {
+): Generator<ModelStep> {
   const promoter = at(state.promoters, index);
   if (promoter.step !== 'idle' || promoter.starts >= MAXIMUM_STARTS) {
     return;
   }
   const {row} = state;
   const epoch = row.epoch + 1;
-  const repeats = guards.repeatsOrders && row.phase === 'ordered';
-  const phase = repeats ? 'ordered' : 'stopping';
-  const target = repeats ? row.target : -1;
-  const next = write(state, guards, row.version, {epoch, phase, target});
+  const repeatsOrder = guards.repeatsOrders && row.phase === 'ordered';
+  const phase = repeatsOrder ? 'ordered' : 'stopping';
+  const target = repeatsOrder ? row.target : -1;
+  const next = writeRow(state, guards, row.version, {epoch, phase, target});
   if (next !== undefined) {
     yield {
-      name: `promoter ${index} takes the row${repeats ? ', repeats' : ''}`,
+      name: `promoter ${index} takes the row${repeatsOrder ? ', repeats' : ''}`,
       state: withPromoter(next, index, {
         step: phase,
         version: next.row.version,
@@ -138,12 +139,12 @@
   }
 }
 
-/** A replica is stopped and its answer arrives; lost ones are not played. */
+/** A replica is paused and its answer arrives; lost answers are not modelled. */
 function* stopSteps(
   state: ModelState,
   guards: Guards,
   index: number,
-): Generator<Step> {
+): Generator<ModelStep> {
   const promoter = at(state.promoters, index);
   if (promoter.step !== 'stopping') {
     return;
@@ -152,7 +153,7 @@
     const target = at(state.targets, replica);
     const isAsked =
       replica !== promoter.from &&
-      target.up &&
+      target.isRunning &&
       at(promoter.answers, replica) < 0;
     if (!isAsked) {
       continue;
@@ -164,7 +165,7 @@
       : state.targets;
     const answers = replaced(promoter.answers, replica, target.log.length);
     yield {
-      name: `promoter ${index} stops ${replica}`,
+      name: `promoter ${index} pauses ${replica}`,
       state: withPromoter({...state, targets}, index, {answers}),
     };
   }
@@ -174,7 +175,7 @@
   state: ModelState,
   guards: Guards,
   index: number,
-): Generator<Step> {
+): Generator<ModelStep> {
   const promoter = at(state.promoters, index);
   if (promoter.step !== 'stopping') {
     return;
@@ -190,14 +191,14 @@
       dataCentre: '',
     })),
     unanswered: guards.needsAllReplicas ? unanswered : 0,
-    demotedAt: undefined,
+    demotedLogEnd: undefined,
   });
   if (successor === undefined) {
     return;
   }
   const target = Number(successor.target);
   const {epoch, version} = promoter;
-  const next = write(state, guards, version, {
+  const next = writeRow(state, guards, version, {
     epoch,
     phase: 'ordered',
     target,
@@ -216,32 +217,32 @@
 }
 
 /**
- * An order leaves; from now on it may be carried out at any time, or never. One
- * without an answer is followed by another for the same target, at a higher
- * epoch that is written first.
+ * A promotion order is sent; it may be executed at any later time, or never. An
+ * unanswered order is followed by another for the same target, with a higher epoch
+ * that is written to the row first.
  */
 function* orderSteps(
   state: ModelState,
   guards: Guards,
   index: number,
-): Generator<Step> {
+): Generator<ModelStep> {
   const {step, epoch, target, version, sent} = at(state.promoters, index);
   if (step !== 'ordered') {
     return;
   }
   if (sent < MAXIMUM_ORDERS) {
     const row = {epoch: epoch + 1, phase: 'ordered' as const, target};
-    const written = sent === 0 ? state : write(state, guards, version, row);
-    const used = sent === 0 ? epoch : epoch + 1;
+    const written = sent === 0 ? state : writeRow(state, guards, version, row);
+    const orderEpoch = sent === 0 ? epoch : epoch + 1;
     if (written !== undefined) {
-      const orders = [...state.orders, {epoch: used, target}];
+      const orders = [...state.orders, {epoch: orderEpoch, target}];
       const change = {
         sent: sent + 1,
-        epoch: used,
+        epoch: orderEpoch,
         version: sent === 0 ? version : written.row.version,
       };
       yield {
-        name: `promoter ${index} orders ${target} at ${used}`,
+        name: `promoter ${index} orders ${target} at ${orderEpoch}`,
         state: withPromoter({...written, orders}, index, change),
       };
     }
@@ -251,15 +252,15 @@
   }
 }
 
-/** The end of a change is written; letting targets go on follows. */
+/** The end of a change is written; the targets are resumed afterwards. */
 function* endSteps(
   state: ModelState,
   guards: Guards,
   index: number,
   phase: 'done' | 'abandoned',
-): Generator<Step> {
+): Generator<ModelStep> {
   const {epoch, version, target} = at(state.promoters, index);
-  const next = write(state, guards, version, {epoch, phase, target});
+  const next = writeRow(state, guards, version, {epoch, phase, target});
   if (next !== undefined) {
     yield {
       name: `promoter ${index} ends: ${phase}`,
@@ -271,23 +272,23 @@
   }
 }
 
-/** A change that is given up, for whatever reason. */
+/** A change is abandoned, for any reason. */
 function* abandonSteps(
   state: ModelState,
   guards: Guards,
   index: number,
-): Generator<Step> {
+): Generator<ModelStep> {
   if (at(state.promoters, index).step === 'stopping') {
     yield* endSteps(state, guards, index, 'abandoned');
   }
 }
 
-/** After its end a change lets each stopped target receive again. */
+/** A promoter that has ended its change resumes the paused targets. */
 function* resumeSteps(
   state: ModelState,
   guards: Guards,
   index: number,
-): Generator<Step> {
+): Generator<ModelStep> {
   const {step, version} = at(state.promoters, index);
   const isInTime = state.row.version === version;
   if (step !== 'resuming' || (guards.resumesInTime && !isInTime)) {
@@ -300,18 +301,21 @@
         ...target,
         pausedAt: 0,
       });
-      const name = `promoter ${index} lets ${stopped} go on`;
+      const name = `promoter ${index} resumes ${stopped}`;
       yield {name, state: {...state, targets}};
     }
   }
 }
 
-function* promotionSteps(state: ModelState, guards: Guards): Generator<Step> {
+function* promotionSteps(
+  state: ModelState,
+  guards: Guards,
+): Generator<ModelStep> {
   for (const order of state.orders) {
     const orders = state.orders.filter(other => other !== order);
     const next = at(state.targets, order.target);
     const isFenced = guards.checksEpochs && order.epoch < state.fence;
-    if (isFenced || !next.up) {
+    if (isFenced || !next.isRunning) {
       continue;
     }
     const fence = Math.max(state.fence, order.epoch);
@@ -331,7 +335,7 @@
   }
 }
 
-function* stepsFrom(state: ModelState, guards: Guards): Generator<Step> {
+function* stepsFrom(state: ModelState, guards: Guards): Generator<ModelStep> {
   yield* commitSteps(state);
   yield* crashSteps(state);
   for (const index of PROMOTERS) {
@@ -345,17 +349,17 @@
   yield* promotionSteps(state, guards);
 }
 
-/** True if whoever leads holds every acknowledged commit. */
+/** True if the primary holds every acknowledged commit. */
 function isSafe({targets, leader, acknowledged}: ModelState): boolean {
   const {log} = at(targets, leader);
   return acknowledged.every(commit => log.includes(commit));
 }
 
-/** Searches all states that can be reached, the nearest first. */
+/** Searches all reachable states breadth-first. */
 export function searchSuccession(guards: Guards): SearchResult {
-  const seen = new Set([JSON.stringify(START)]);
+  const seen = new Set([JSON.stringify(INITIAL_STATE)]);
   let frontier: Array<{state: ModelState; path: readonly string[]}> = [
-    {state: START, path: []},
+    {state: INITIAL_STATE, path: []},
   ];
   while (frontier.length > 0) {
     const next: typeof frontier = [];
--- a/packages/succession/__tests__/succession_model_state.ts
+++ b/packages/succession/__tests__/succession_model_state.ts
@@ -1,25 +1,28 @@
-/** States of the model of a change of primary. */
+/** States of the succession model. */
 
-/** What may be switched off, to see that the search then finds a fault. */
+/**
+ * Safety rules of a change of primary. Each can be disabled, to check that the
+ * search then finds a counterexample.
+ */
 export interface Guards {
-  /** Every replica has to answer before the choice. */
+  /** Every replica must answer before a target is selected. */
   readonly needsAllReplicas: boolean;
-  /** Replicas stop receiving before they are compared. */
+  /** Replicas are paused before their logs are compared. */
   readonly stopsReplicas: boolean;
-  /** The row is written only if nobody else has written it. */
+  /** The row is written only if its version is unchanged. */
   readonly comparesVersions: boolean;
-  /** An order of another holder is repeated, not replaced. */
+  /** A pending order of another promoter is repeated for the same target. */
   readonly repeatsOrders: boolean;
-  /** The platform refuses epochs below the highest it has seen. */
+  /** The platform rejects epochs below the highest that it has seen. */
   readonly checksEpochs: boolean;
   /**
-   * Replicas are told to receive again only before anyone else takes the row:
-   * the order is not sent later, and the next change keeps a distance.
+   * Replicas are resumed only before another promoter takes the row: the resume
+   * order is not sent later, and the next change starts after a cooldown.
    */
   readonly resumesInTime: boolean;
 }
 
-/** All guards on, as in the product. */
+/** All guards enabled, as in production. */
 export const ALL_GUARDS: Guards = {
   needsAllReplicas: true,
   stopsReplicas: true,
@@ -29,16 +32,17 @@
   resumesInTime: true,
 };
 
-/** A target and what it holds. */
+/** A target and its data. */
 export interface ModelTarget {
-  /** Commits by name; the term of each stands before it. */
+  /** Names of commits, each `TERM.NUMBER`. */
   readonly log: readonly string[];
   readonly term: number;
+  /** Term of the order that paused it; 0 while it is not paused. */
   readonly pausedAt: number;
-  readonly up: boolean;
+  readonly isRunning: boolean;
 }
 
-/** The group's row. */
+/** The succession row of the group. */
 export interface ModelRow {
   readonly version: number;
   readonly epoch: number;
@@ -46,27 +50,27 @@
   readonly target: number;
 }
 
-/** A promoter between its steps. */
+/** State of a promoter between its steps. */
 export interface ModelPromoter {
   readonly step: 'idle' | 'stopping' | 'ordered' | 'resuming' | 'ended';
   readonly version: number;
   readonly epoch: number;
   readonly from: number;
   readonly target: number;
-  /** Log lengths that stopped replicas answered; -1: no answer yet. */
+  /** Log lengths that paused replicas answered; -1 before an answer. */
   readonly answers: readonly number[];
   readonly starts: number;
-  /** Orders that it has sent for its choice. */
+  /** Number of promotion orders sent. */
   readonly sent: number;
 }
 
-/** An order on its way to the platform. */
+/** A promotion order in transit to the platform. */
 export interface ModelOrder {
   readonly epoch: number;
   readonly target: number;
 }
 
-/** All that the search tells states apart by. */
+/** A state of the search; states with equal JSON are the same. */
 export interface ModelState {
   readonly targets: readonly ModelTarget[];
   readonly leader: number;
@@ -79,7 +83,7 @@
   readonly crashes: number;
 }
 
-/** The targets; the first one leads at the start. */
+/** The targets; the first is the initial primary. */
 export const TARGETS = [0, 1, 2] as const;
 /** The promoters. */
 export const PROMOTERS = [0, 1] as const;
@@ -88,7 +92,7 @@
 export const MAXIMUM_STARTS = 1;
 export const MAXIMUM_ORDERS = 2;
 
-const IDLE: ModelPromoter = {
+const IDLE_PROMOTER: ModelPromoter = {
   step: 'idle',
   version: 0,
   epoch: 0,
@@ -99,12 +103,17 @@
   sent: 0,
 };
 
-/** Where the search starts. */
-export const START: ModelState = {
-  targets: TARGETS.map(() => ({log: [], term: 1, pausedAt: 0, up: true})),
+/** Start of the search. */
+export const INITIAL_STATE: ModelState = {
+  targets: TARGETS.map(() => ({
+    log: [],
+    term: 1,
+    pausedAt: 0,
+    isRunning: true,
+  })),
   leader: 0,
   row: {version: 0, epoch: 0, phase: 'none', target: -1},
-  promoters: [IDLE, IDLE],
+  promoters: [IDLE_PROMOTER, IDLE_PROMOTER],
   orders: [],
   fence: 0,
   acknowledged: [],
--- a/packages/succession/__tests__/succession_row_writer.spec.ts
+++ b/packages/succession/__tests__/succession_row_writer.spec.ts
@@ -8,7 +8,7 @@
 import {describe, test} from 'node:test';
 
 import type {Succession} from '../src/succession_row';
-import {createTurn} from '../src/succession_row_writer';
+import {createSuccessionRowWriter} from '../src/succession_row_writer';
 
 const TABLE = 'successions';
 const KEY = 'group/records';
@@ -20,7 +20,7 @@
   target: '',
 };
 
-function startTurn() {
+function startWriter() {
   const timer = createVirtualTimer();
   const random = createRandom(1);
   const runtime = createRuntime({timer, random});
@@ -29,11 +29,17 @@
     random: random.split(),
     answerTime: 4,
   });
-  const turn = createTurn(store.clientOf('proxy-1'), TABLE, KEY, 0, FIRST);
+  const rowWriter = createSuccessionRowWriter(
+    store.clientOf('proxy-1'),
+    TABLE,
+    KEY,
+    0,
+    FIRST,
+  );
   const results: Array<{isWritten: boolean; at: number}> = [];
 
   function write(change: Partial<Succession>): void {
-    const task = runtime.spawn('write', turn.write(change));
+    const task = runtime.spawn('write', rowWriter.write(change));
     task.result.onSettled(isWritten => {
       results.push({isWritten, at: timer.now()});
     });
@@ -42,9 +48,9 @@
   return {timer, store, write, results};
 }
 
-describe('a turn at a group', () => {
-  test('goes on at once when a write was done and its answer lost', () => {
-    const {timer, store, write, results} = startTurn();
+describe('the writer of a succession row', () => {
+  test('continues at once after a write whose answer was lost', () => {
+    const {timer, store, write, results} = startWriter();
     store.faults.lostAnswers = 1;
     write({});
     timer.advance(400);
@@ -54,8 +60,8 @@
     expect(results.map(({isWritten}) => isWritten)).toEqual([true, true]);
   });
 
-  test('tries a write again that was not done', () => {
-    const {timer, store, write, results} = startTurn();
+  test('retries a write that was not applied', () => {
+    const {timer, store, write, results} = startWriter();
     store.faults.lateWrites = 1;
     write({});
     timer.advance(200);
@@ -66,16 +72,16 @@
     expect(results.map(({isWritten}) => isWritten)).toEqual([true, true]);
   });
 
-  test('ends when another proxy has written the row', () => {
-    const {timer, store, write, results} = startTurn();
+  test('fails when another proxy has written the row', () => {
+    const {timer, store, write, results} = startWriter();
     store.put(TABLE, KEY, {...FIRST, holder: 'proxy-2'});
     write({});
     timer.advance(1000);
     expect(results.map(({isWritten}) => isWritten)).toEqual([false]);
   });
 
-  test('ends when the store stays silent', () => {
-    const {timer, store, write, results} = startTurn();
+  test('fails when the store stays unresponsive', () => {
+    const {timer, store, write, results} = startWriter();
     store.faults.silent = 'all';
     write({});
     timer.advance(20_000);
--- a/packages/succession/index.ts
+++ b/packages/succession/index.ts
@@ -1,5 +1,5 @@
-/** Changes of primary in groups that the platform promotes in. */
+/** Changes the primary of groups whose targets the platform promotes. */
 export * from './src/choose_successor';
 export * from './src/succession_monitor';
 export * from './src/succession_row';
-export type {ChangeOutcome} from './src/succession_steps';
+export type {SuccessionOutcome as ChangeOutcome} from './src/succession_steps';
--- a/packages/succession/src/choose_successor.ts
+++ b/packages/succession/src/choose_successor.ts
@@ -1,25 +1,32 @@
-/** Which target is promoted: a pure function of what the targets answered. */
+/** Selects the target to promote; a pure function of the targets' answers. */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 
-/** A target that was stopped, as it answered. */
-export interface StoppedTarget {
+/** A target that may be promoted, as of its last answer. */
+export interface SuccessorCandidate {
   readonly target: string;
-  /** End of its log; it receives nothing more. */
+  /** End of its log, which no longer grows past a commit to be preserved. */
   readonly received: LogPosition;
   readonly isLeaving: boolean;
   readonly dataCentre: string;
 }
 
-/** What the choice goes by. */
-export interface SuccessorChoice {
-  readonly stopped: readonly StoppedTarget[];
-  /** Targets that may hold an acknowledged commit and have not answered. */
+/** Input of `chooseSuccessor`. */
+export interface SuccessorInput {
+  /**
+   * The targets that have answered: paused replicas, or replicas of a demoted
+   * primary.
+   */
+  readonly stopped: readonly SuccessorCandidate[];
+  /** Number of targets that may hold an acknowledged commit but didn't answer. */
   readonly unanswered: number;
-  /** Log end of the demoted primary, if it answered: covers every commit. */
-  readonly demotedAt: LogPosition | undefined;
+  /** Log end of the demoted primary if it answered; includes every commit. */
+  readonly demotedLogEnd: LogPosition | undefined;
 }
 
-function compareCandidates(left: StoppedTarget, right: StoppedTarget): number {
+function compareCandidates(
+  left: SuccessorCandidate,
+  right: SuccessorCandidate,
+): number {
   return (
     compareLogPositions(right.received, left.received) ||
     Number(left.isLeaving) - Number(right.isLeaving) ||
@@ -28,15 +35,17 @@
 }
 
 /**
- * The target to promote; undefined if none certainly holds every acknowledged
- * commit. With the demoted primary's log end any target that has reached it
- * does. Without it, an acknowledged commit is at one of the replicas at least:
- * all of them must have answered, and the longest log holds it.
+ * Returns the target to promote, or undefined if no target is known to hold
+ * every acknowledged commit. If the demoted primary's log end is known, every
+ * target that has reached it qualifies. Otherwise each acknowledged commit is on
+ * at least one replica, so all replicas must have answered and the longest log
+ * holds them all. Among the targets that qualify, one that is not leaving is
+ * preferred.
  */
 export function chooseSuccessor(
-  choice: SuccessorChoice,
-): StoppedTarget | undefined {
-  const {stopped, unanswered, demotedAt} = choice;
+  input: SuccessorInput,
+): SuccessorCandidate | undefined {
+  const {stopped, unanswered, demotedLogEnd: demotedAt} = input;
   const ranked = [...stopped].sort(compareCandidates);
   if (demotedAt !== undefined) {
     const complete = ranked.filter(
--- a/packages/succession/src/succession_monitor.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Watches a group's primary and has another target promoted when it leaves or
- * is lost. Every step is written to the group's row before it is taken, so that
- * another proxy can go on from there.
+ * Monitors a group's primary and has another target promoted when the primary
+ * leaves or is lost. Each step is written to the group's row before it is taken,
+ * so that another proxy can resume the change.
  */
 import type {TableStore} from '@kelpstep/platform';
 import {
@@ -14,100 +14,116 @@
 import type {ReadTargetStatus} from '@kelpstep/statements';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
-import type {StoppedTarget} from './choose_successor';
+import type {SuccessorCandidate} from './choose_successor';
 import {
   type OrderPromotion,
   SUCCESSION_PREFIX,
   type Succession,
 } from './succession_row';
-import {type ChangeOutcome, createSuccessionSteps} from './succession_steps';
-import {type SuccessionTurn, createTurn} from './succession_row_writer';
+import {
+  type SuccessionOutcome,
+  createSuccessionSteps,
+} from './succession_steps';
+import {
+  type SuccessionRowWriter,
+  createSuccessionRowWriter,
+} from './succession_row_writer';
 
 /** Why a primary is replaced. */
 export type SuccessionReason =
   | 'leaving'
   | 'lost'
-  /** It is reached, but no replica receives from it. */
+  /** Reachable, but no replica receives records from it. */
   | 'isolated'
   | 'missing'
   | 'unfinished';
 
-/** A succession row with its version in the store. */
+/** A succession row and its version in the store. */
 export interface VersionedSuccession {
   readonly succession: Succession;
   readonly version: number;
 }
 
-/** What a succession tells of itself, for the log. */
+/** Callbacks for the progress of a succession, used for logging. */
 export interface SuccessionEvents {
   onStart(reason: SuccessionReason, epoch: number): void;
   onStep(step: string, target: string, epoch: number): void;
-  onEnd(outcome: ChangeOutcome, epoch: number, duration: Milliseconds): void;
+  onEnd(
+    outcome: SuccessionOutcome,
+    epoch: number,
+    duration: Milliseconds,
+  ): void;
 }
 
-/** What a succession is made of. */
-export interface SuccessionOptions {
+/** Options of `startSuccessionMonitor`. */
+export interface SuccessionMonitorOptions {
   readonly runtime: Runtime;
   readonly self: string;
   readonly group: TargetGroup;
   readonly store: TableStore;
-  /** Table that the proxies share for their own rows. */
+  /** Name of the table that the proxies share. */
   readonly table: string;
   readonly readStatus: ReadTargetStatus;
   readonly orderPromotion: OrderPromotion;
   readonly events: SuccessionEvents;
-  /** Whether another proxy reaches the group's primary; it is asked. */
+  /** True if another proxy reports that it reaches the group's primary. */
   isLeaderReachedElsewhere(): Task<boolean>;
-  /** The group's row as last seen. */
+  /** The group's row as last read. */
   row(): VersionedSuccession | undefined;
-  /** When that row was seen first; -Infinity if there is none. */
+  /** When this version of the row was first read; -Infinity without a row. */
   rowSeenAt(): Milliseconds;
 }
 
-/** Watches one group until it is stopped. */
+/** Monitors one group until it is stopped. */
 export interface SuccessionWatch {
   stop(): void;
 }
 
-/** How often the primary is looked at. */
-const WATCH_PERIOD: Milliseconds = 50;
+/** Interval between checks of the primary. */
+const MONITOR_INTERVAL_MS: Milliseconds = 50;
 /**
- * Silence after which a primary counts as lost, counted from the first question
- * that failed on a fresh connection too.
+ * An unresponsive primary counts as lost after this time, measured from the first
+ * status probe that also failed on a new connection.
  */
-const LOST_AFTER: Milliseconds = 150;
-/** How long a group may be without any known primary. */
-const MISSING_AFTER: Milliseconds = 1000;
-/** A change by another proxy is left alone for so long after its last step. */
-const OTHERS_STEP_TIME: Milliseconds = 2500;
+const PRIMARY_LOST_TIMEOUT_MS: Milliseconds = 150;
+/** A group without a known primary is given a new one after this time. */
+const PRIMARY_MISSING_TIMEOUT_MS: Milliseconds = 1000;
 /**
- * A change is followed by another only after this pause: whoever ended it lets
- * the targets receive again, and that must not undo the next one's stop. Covers
- * `FRESH_TURN`, the opening of a connection and the way.
+ * A change by another proxy may be taken over once its row has not been written
+ * for this long.
  */
-const PAUSE_BETWEEN_CHANGES: Milliseconds = 1500;
+const OTHER_PROXY_STEP_TIMEOUT_MS: Milliseconds = 2500;
 /**
- * Writes that wait for so long, none answered, may lack a receiver. Beyond what a
- * target's own queue adds under load.
+ * Minimum time between two changes. The proxy that ended a change resumes
+ * replication, which must not undo the pause of the next change. Covers
+ * `RESUME_WINDOW_MS`, opening a connection and network latency.
  */
-const STALLED_AFTER: Milliseconds = 400;
-/** Pause before a primary whose writes wait is looked at again. */
-const NOT_ISOLATED_PAUSE: Milliseconds = 1000;
-/** Pause before a proxy that is cut off from a primary looks again. */
-const CUT_OFF_PAUSE: Milliseconds = 300;
-/** Proxies try one after the other, spread over this time. */
-const SPREAD: Milliseconds = 120;
-/** Pause after a change that was given up. */
-const PAUSE_AFTER_FAILURE: Milliseconds = 700;
-/** Starts to watch a group. */
-export function watchSuccession(options: SuccessionOptions): SuccessionWatch {
+const CHANGE_COOLDOWN_MS: Milliseconds = 1500;
+/**
+ * If no write has been answered for this long, the primary may have no replica
+ * that receives from it. Above the queueing delay of a target under load.
+ */
+const WRITE_STALL_TIMEOUT_MS: Milliseconds = 400;
+/** Backoff before a primary with stalled writes is checked again. */
+const ISOLATION_RECHECK_BACKOFF_MS: Milliseconds = 1000;
+/** Backoff before a proxy that is partitioned from the primary checks again. */
+const PARTITION_RECHECK_BACKOFF_MS: Milliseconds = 300;
+/** Each proxy starts after a random delay up to this, to avoid conflicts. */
+const MAXIMUM_START_DELAY_MS: Milliseconds = 120;
+/** Backoff after a change that failed. */
+const FAILED_CHANGE_BACKOFF_MS: Milliseconds = 700;
+
+/** Starts to monitor a group. */
+export function watchSuccession(
+  options: SuccessionMonitorOptions,
+): SuccessionWatch {
   const {runtime, group, store, self, events} = options;
   const {timer, random} = runtime;
   const key = SUCCESSION_PREFIX + group.group;
   const steps = createSuccessionSteps({...options, onStep: events.onStep});
   let missingSince: Milliseconds | undefined;
 
-  function noteMissing(): void {
+  function updateMissingSince(): void {
     const isMissing = group.leader() === undefined && group.links().length > 0;
     missingSince = isMissing ? (missingSince ?? timer.now()) : undefined;
   }
@@ -117,20 +133,23 @@
     if (leader === undefined) {
       const isOverdue =
         missingSince !== undefined &&
-        timer.now() - missingSince >= MISSING_AFTER;
+        timer.now() - missingSince >= PRIMARY_MISSING_TIMEOUT_MS;
       return isOverdue ? 'missing' : undefined;
     }
     const silentSince = leader.silentSince();
-    if (silentSince !== undefined && timer.now() - silentSince >= LOST_AFTER) {
+    if (
+      silentSince !== undefined &&
+      timer.now() - silentSince >= PRIMARY_LOST_TIMEOUT_MS
+    ) {
       return 'lost';
     }
-    const canLeave = group
+    const hasReplacement = group
       .links()
       .some(link => !link.registration().isLeaving && link.isReached());
-    if (leader.registration().isLeaving && canLeave) {
+    if (leader.registration().isLeaving && hasReplacement) {
       return 'leaving';
     }
-    if (isUnderWay()) {
+    if (isChangeInProgress()) {
       return 'unfinished';
     }
     return hasStalledWrites(leader) ? 'isolated' : undefined;
@@ -138,127 +157,147 @@
 
   function hasStalledWrites(leader: TargetLink): boolean {
     const since = leader.writesStalledSince();
-    return since !== undefined && timer.now() - since >= STALLED_AFTER;
+    return since !== undefined && timer.now() - since >= WRITE_STALL_TIMEOUT_MS;
   }
 
-  function isUnderWay(): boolean {
+  function isChangeInProgress(): boolean {
     const phase = options.row()?.succession.phase;
     return phase === 'stopping' || phase === 'ordered';
   }
 
-  function isOthersTurn(): boolean {
+  /**
+   * True while another proxy may still be performing a change, or the last change
+   * is too recent.
+   */
+  function mustDefer(): boolean {
     const age = timer.now() - options.rowSeenAt();
-    return age < (isUnderWay() ? OTHERS_STEP_TIME : PAUSE_BETWEEN_CHANGES);
+    return (
+      age <
+      (isChangeInProgress() ? OTHER_PROXY_STEP_TIMEOUT_MS : CHANGE_COOLDOWN_MS)
+    );
   }
 
-  function* watch(): Task<void> {
+  function* monitor(): Task<void> {
     for (;;) {
-      yield* sleep(WATCH_PERIOD);
-      noteMissing();
-      if (findReason() === undefined || isOthersTurn()) {
+      yield* sleep(MONITOR_INTERVAL_MS);
+      updateMissingSince();
+      if (findReason() === undefined || mustDefer()) {
         continue;
       }
-      yield* sleep(SPREAD * random.fraction());
-      if (yield* isOnlyCutOff()) {
-        yield* sleep(random.jitter(CUT_OFF_PAUSE, 0.5));
+      yield* sleep(MAXIMUM_START_DELAY_MS * random.fraction());
+      if (yield* isPartitionedFromLeader()) {
+        yield* sleep(random.jitter(PARTITION_RECHECK_BACKOFF_MS, 0.5));
         continue;
       }
       const reason = findReason();
       if (reason === 'isolated' && !(yield* steps.isIsolated(group.leader()))) {
-        yield* sleep(random.jitter(NOT_ISOLATED_PAUSE, 0.5));
+        yield* sleep(random.jitter(ISOLATION_RECHECK_BACKOFF_MS, 0.5));
         continue;
       }
-      if (reason !== undefined && !isOthersTurn()) {
-        yield* change(reason);
+      if (reason !== undefined && !mustDefer()) {
+        yield* changePrimary(reason);
       }
     }
   }
 
-  /** A primary that others reach is not lost: this proxy is cut off from it. */
-  function* isOnlyCutOff(): Task<boolean> {
+  /** True if only this proxy fails to reach the primary. */
+  function* isPartitionedFromLeader(): Task<boolean> {
     const reason = findReason();
-    const mayBe = reason === 'lost' || reason === 'missing';
-    return mayBe && (yield* options.isLeaderReachedElsewhere());
+    const isUnreachable = reason === 'lost' || reason === 'missing';
+    return isUnreachable && (yield* options.isLeaderReachedElsewhere());
   }
 
-  function* change(reason: SuccessionReason): Task<void> {
+  function* changePrimary(reason: SuccessionReason): Task<void> {
     const startedAt = timer.now();
-    const before = options.row();
-    const epoch = (before?.succession.epoch ?? 0) + 1;
-    const leader = group.leader() ?? lastLeader(before?.succession);
-    const ordered = orderedTarget(before?.succession);
-    const turn = createTurn(store, options.table, key, before?.version ?? 0, {
-      epoch,
-      holder: self,
-      // An order that is taken over stays written, should this holder die.
-      phase: ordered === '' ? 'stopping' : 'ordered',
-      from: leader?.target ?? '',
-      target: ordered,
-    });
-    if (!(yield* turn.write({}))) {
+    const previous = options.row();
+    const epoch = (previous?.succession.epoch ?? 0) + 1;
+    const leader = group.leader() ?? recordedLeader(previous?.succession);
+    const pendingTarget = findPendingTarget(previous?.succession);
+    const rowWriter = createSuccessionRowWriter(
+      store,
+      options.table,
+      key,
+      previous?.version ?? 0,
+      {
+        epoch,
+        holder: self,
+        // A pending order stays recorded in case this proxy fails as well.
+        phase: pendingTarget === '' ? 'stopping' : 'ordered',
+        from: leader?.target ?? '',
+        target: pendingTarget,
+      },
+    );
+    if (!(yield* rowWriter.write({}))) {
       return;
     }
     events.onStart(reason, epoch);
-    const outcome = yield* takeSteps(turn, reason, leader, ordered);
-    events.onEnd(outcome, turn.succession().epoch, timer.now() - startedAt);
+    const outcome = yield* runSteps(rowWriter, reason, leader, pendingTarget);
+    events.onEnd(
+      outcome,
+      rowWriter.succession().epoch,
+      timer.now() - startedAt,
+    );
     if (outcome !== 'done') {
-      yield* sleep(random.jitter(PAUSE_AFTER_FAILURE, 0.5));
+      yield* sleep(random.jitter(FAILED_CHANGE_BACKOFF_MS, 0.5));
     }
   }
 
   /**
-   * The primary as the row has it, for a proxy that never heard of it: every
-   * change of primary goes through the row. What a lost primary acknowledged is
-   * at a replica, so that nobody has to wait for the primary itself.
+   * The primary according to the row, for a proxy that does not know one; every
+   * change of primary is recorded there. Commits that a lost primary has
+   * acknowledged are on a replica, so the primary's own answer is not needed.
    */
-  function lastLeader(row: Succession | undefined): TargetLink | undefined {
+  function recordedLeader(row: Succession | undefined): TargetLink | undefined {
     if (row === undefined || row.phase === 'ordered') {
       return undefined;
     }
     return group.link(row.phase === 'done' ? row.target : row.from);
   }
 
-  /** An order that may still take effect is not followed by another choice. */
-  function orderedTarget(row: Succession | undefined): string {
+  /**
+   * Target of a recorded promotion order, or '' without one. Such an order may
+   * still take effect, so no other target is selected.
+   */
+  function findPendingTarget(row: Succession | undefined): string {
     const isOrdered = row?.phase === 'ordered';
     const link = isOrdered ? group.link(row.target) : undefined;
     return link?.isReached() ? link.target : '';
   }
 
-  function* takeSteps(
-    turn: SuccessionTurn,
+  function* runSteps(
+    rowWriter: SuccessionRowWriter,
     reason: SuccessionReason,
     leader: TargetLink | undefined,
-    ordered: string,
-  ): Task<ChangeOutcome> {
-    if (ordered !== '') {
-      return yield* steps.carryOut(turn, ordered);
+    pendingTarget: string,
+  ): Task<SuccessionOutcome> {
+    if (pendingTarget !== '') {
+      return yield* steps.completePromotion(rowWriter, pendingTarget);
     }
-    const successor = yield* chooseFor(reason, leader);
+    const successor = yield* selectSuccessor(reason, leader);
     if (successor === undefined) {
-      yield* steps.finish(turn, 'abandoned');
+      yield* steps.finish(rowWriter, 'abandoned');
       return 'abandoned';
     }
-    return yield* steps.promoteChosen(turn, successor.target);
+    return yield* steps.promoteSuccessor(rowWriter, successor.target);
   }
 
-  function* chooseFor(
+  function* selectSuccessor(
     reason: SuccessionReason,
     leader: TargetLink | undefined,
-  ): Task<StoppedTarget | undefined> {
+  ): Task<SuccessorCandidate | undefined> {
     if (reason === 'unfinished') {
       return undefined;
     }
-    const term = (yield* steps.newestTerm()) + 1;
+    const term = (yield* steps.highestTerm()) + 1;
     if (reason === 'missing' && group.leader()?.isReached()) {
-      // Asked for its term, a target has said that it leads.
+      // The probe for the highest term has found a primary.
       return undefined;
     }
     return reason === 'leaving' && leader !== undefined
       ? yield* steps.chooseAfterDemotion(leader, term)
-      : yield* steps.chooseAfterStop(leader, term);
+      : yield* steps.chooseAfterPause(leader, term);
   }
 
-  const task: TaskHandle<void> = runtime.spawn('succession', watch());
+  const task: TaskHandle<void> = runtime.spawn('succession', monitor());
   return {stop: task.cancel};
 }
--- a/packages/succession/src/succession_row.ts
+++ b/packages/succession/src/succession_row.ts
@@ -1,14 +1,14 @@
-/** The row that decides who changes a group's primary, and how far that is. */
+/** The table row that records a change of a group's primary and its phase. */
 import type {Future} from '@kelpstep/runtime';
 import {z} from 'zod';
 
-/** Start of the rows' keys; the group's name follows. */
+/** Prefix of the row keys; followed by the name of the group. */
 export const SUCCESSION_PREFIX = 'succession/';
 
 /**
- * `stopping`: targets are being stopped and compared. `ordered`: the target may
- * be promoted at any time from now on. `done`: it leads. `abandoned`: given up
- * before any order.
+ * `stopping`: replicas are being paused and compared. `ordered`: the promotion
+ * was or is about to be ordered and may take effect at any time. `done`: the
+ * target is primary. `abandoned`: ended before any promotion was ordered.
  */
 export const successionPhaseSchema = z.enum([
   'stopping',
@@ -18,31 +18,31 @@
 ]);
 export type SuccessionPhase = z.infer<typeof successionPhaseSchema>;
 
-/** A row's value. */
+/** Value of a row. */
 export const successionSchema = z.object({
-  /** Rises with each change and each further order; a fencing token. */
+  /** Fencing token; increases with each change and each repeated order. */
   epoch: z.number().int().nonnegative(),
-  /** Proxy that acts. */
+  /** Proxy that performs the change. */
   holder: z.string(),
   phase: successionPhaseSchema,
-  /** Primary that is replaced; empty if none was known. */
+  /** Primary to be replaced; empty if none was known. */
   from: z.string(),
-  /** Target that is promoted; empty before the choice. */
+  /** Target to be promoted; empty until it has been selected. */
   target: z.string(),
 });
 export type Succession = z.infer<typeof successionSchema>;
 
-/** What became of the order to promote. */
+/** Result of a promotion order. */
 export type PromotionReply =
   | 'done'
-  /** Refused: a higher epoch was used, or the target doesn't run. */
+  /** Refused: a higher epoch was used, or the target is not running. */
   | 'fenced'
-  /** Not carried out. */
+  /** Not executed. */
   | 'refused'
-  /** May be carried out, also later. */
+  /** No reply; the order may have been executed or may still be executed. */
   | 'unanswered';
 
-/** An order to promote. */
+/** A promotion order. */
 export interface PromotionOrder {
   readonly group: string;
   readonly target: string;
@@ -50,5 +50,5 @@
   readonly epoch: number;
 }
 
-/** Orders a promotion; an adapter implements it. */
+/** Orders a promotion from the platform; implemented by an adapter. */
 export type OrderPromotion = (order: PromotionOrder) => Future<PromotionReply>;
--- a/packages/succession/src/succession_row_writer.ts
+++ b/packages/succession/src/succession_row_writer.ts
@@ -1,4 +1,4 @@
-/** A group's row while this proxy holds it. */
+/** Writes a group's succession row on behalf of the proxy that holds it. */
 import type {StoreFailure, TableStore} from '@kelpstep/platform';
 import {
   type Future,
@@ -12,26 +12,32 @@
 
 import {type Succession, successionSchema} from './succession_row';
 
-/** Writes the row as long as nobody else has. */
-export interface SuccessionTurn {
-  /** Writes a change; false if the row is another's by now, or may be. */
+/** Writes the row until another proxy has written it. */
+export interface SuccessionRowWriter {
+  /**
+   * Writes the row with the change applied. False if another proxy has written
+   * the row, or may have.
+   */
   write(change: Partial<Succession>): Task<boolean>;
-  /** The row as last written here. */
+  /** The row as last written by this writer. */
   succession(): Succession;
 }
 
-type Written = Result<number, StoreFailure>;
+type WriteResult = Result<number, StoreFailure>;
 
 /**
- * A write that is silent for so long may be done and its answer lost: the row
- * is read. Well beyond the time of a store that isn't slow.
+ * A write without an answer for this long may have been applied with its answer
+ * lost, so the row is read back. Well above the usual latency of the store.
  */
-const LOOK_AFTER: Milliseconds = 250;
-/** Tries of one write; without them a change waited for another proxy. */
-const MAXIMUM_TRIES = 3;
-const TRY_PAUSE: Milliseconds = 60;
+const READ_BACK_DELAY_MS: Milliseconds = 250;
+/**
+ * Attempts per write. If a single failed write ended the change, the group would
+ * have to wait until another proxy takes it over.
+ */
+const MAXIMUM_ATTEMPTS = 3;
+const RETRY_BACKOFF_MS: Milliseconds = 60;
 
-function isSame(left: Succession, right: Succession): boolean {
+function isSameRow(left: Succession, right: Succession): boolean {
   return (
     left.holder === right.holder &&
     left.epoch === right.epoch &&
@@ -41,70 +47,73 @@
   );
 }
 
-/** Creates a turn that has written nothing yet. */
-export function createTurn(
+/**
+ * Creates a writer for the row at `key`, which is expected to be at `version`.
+ * Nothing is written before the first `write`.
+ */
+export function createSuccessionRowWriter(
   store: TableStore,
   table: string,
   key: string,
   version: number,
-  first: Succession,
-): SuccessionTurn {
-  let current = first;
+  initial: Succession,
+): SuccessionRowWriter {
+  let current = initial;
   let currentVersion = version;
 
-  /** The version of the row if it is as this write makes it. */
-  function* findWritten(next: Succession): Task<number | undefined> {
+  /** Version of the stored row if it equals `next`. */
+  function* findWrittenVersion(next: Succession): Task<number | undefined> {
     const read = yield* waitFor(store.readTable(table));
     const row = read.ok
       ? read.val.rows.find(other => other.key === key)
       : undefined;
     const parsed = successionSchema.safeParse(row?.value);
-    return parsed.success && isSame(parsed.data, next)
+    return parsed.success && isSameRow(parsed.data, next)
       ? row?.version
       : undefined;
   }
 
-  /** The answer, or what the row says while there is none. */
-  function* awaitWritten(
-    answer: Future<Written>,
+  /** Awaits the store's answer, reading the row back while there is none. */
+  function* awaitWriteResult(
+    answer: Future<WriteResult>,
     next: Succession,
-  ): Task<Written> {
+  ): Task<WriteResult> {
     for (;;) {
-      const written = yield* waitAtMost(answer, LOOK_AFTER);
-      if (written !== undefined) {
-        return written;
+      const result = yield* waitAtMost(answer, READ_BACK_DELAY_MS);
+      if (result !== undefined) {
+        return result;
       }
-      const found = yield* findWritten(next);
+      const found = yield* findWrittenVersion(next);
       if (found !== undefined) {
         return Ok(found);
       }
     }
   }
 
-  function* tryWrite(next: Succession): Task<Written> {
-    const sent = store.replaceRow(table, key, currentVersion, next);
-    const written = yield* awaitWritten(sent, next);
-    if (written.ok || written.val !== 'conflict') {
-      return written;
+  function* attemptWrite(next: Succession): Task<WriteResult> {
+    const reply = store.replaceRow(table, key, currentVersion, next);
+    const result = yield* awaitWriteResult(reply, next);
+    if (result.ok || result.val !== 'conflict') {
+      return result;
     }
-    // An earlier try may have been done without an answer.
-    const found = yield* findWritten(next);
-    return found === undefined ? written : Ok(found);
+    // An earlier attempt may have been applied although its answer was lost.
+    const found = yield* findWrittenVersion(next);
+    return found === undefined ? result : Ok(found);
   }
 
   function* write(change: Partial<Succession>): Task<boolean> {
     const next = {...current, ...change};
-    for (let tries = 0; tries < MAXIMUM_TRIES; tries++) {
-      const written = yield* tryWrite(next);
-      if (written.ok) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+      const result = yield* attemptWrite(next);
+      if (result.ok) {
         current = next;
-        currentVersion = written.val;
+        currentVersion = result.val;
         return true;
       }
-      if (written.val === 'conflict') {
+      if (result.val === 'conflict') {
         return false;
       }
-      yield* sleep(TRY_PAUSE);
+      yield* sleep(RETRY_BACKOFF_MS);
     }
     return false;
   }
--- a/packages/succession/src/succession_steps.ts
+++ b/packages/succession/src/succession_steps.ts
@@ -1,4 +1,4 @@
-/** The steps of a change of primary, from stopping replicas to letting them go. */
+/** The steps of a change of primary, from pausing to resuming replication. */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import {
   type Milliseconds,
@@ -15,14 +15,18 @@
 } from '@kelpstep/statements';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
-import {type StoppedTarget, chooseSuccessor} from './choose_successor';
+import {type SuccessorCandidate, chooseSuccessor} from './choose_successor';
 import type {OrderPromotion} from './succession_row';
-import type {SuccessionTurn} from './succession_row_writer';
+import type {SuccessionRowWriter} from './succession_row_writer';
 
-/** How a change ended; `overtaken`: another proxy goes on with it. */
-export type ChangeOutcome = 'done' | 'abandoned' | 'overtaken';
+/**
+ * How a change of primary ended. `abandoned`: no promotion was ordered.
+ * `overtaken`: another proxy has written the row, or the target did not become
+ * primary.
+ */
+export type SuccessionOutcome = 'done' | 'abandoned' | 'overtaken';
 
-/** What steps are made of. */
+/** Options of `createSuccessionSteps`. */
 export interface SuccessionStepsOptions {
   readonly runtime: Runtime;
   readonly self: string;
@@ -32,59 +36,74 @@
   onStep(step: string, target: string, epoch: number): void;
 }
 
-/** The steps; each writes to the turn's row before it acts. */
+/** The steps of a change; each is recorded in the row before it takes effect. */
 export interface SuccessionSteps {
   /**
-   * True if no reached replica receives what the primary has in its log: twice,
-   * with a pause, as records are always on their way.
+   * True if every reachable replica lacks records of the primary's log. Probed
+   * repeatedly, because a replica is briefly behind under normal operation too.
    */
   isIsolated(leader: TargetLink | undefined): Task<boolean>;
-  /** The highest term that any reached target knows of. */
-  newestTerm(): Task<number>;
-  /** Chooses whoever holds all that the demoted primary acknowledged. */
+  /** Highest term known to any reachable target. */
+  highestTerm(): Task<number>;
+  /**
+   * Demotes the primary and selects a target that holds every commit it has
+   * acknowledged.
+   */
   chooseAfterDemotion(
     leader: TargetLink,
     term: number,
-  ): Task<StoppedTarget | undefined>;
-  /** Chooses among the replicas, all of them stopped. */
-  chooseAfterStop(
+  ): Task<SuccessorCandidate | undefined>;
+  /** Pauses replication on all replicas and selects among them. */
+  chooseAfterPause(
     leader: TargetLink | undefined,
     term: number,
-  ): Task<StoppedTarget | undefined>;
-  promoteChosen(turn: SuccessionTurn, target: string): Task<ChangeOutcome>;
-  carryOut(turn: SuccessionTurn, target: string): Task<ChangeOutcome>;
-  finish(turn: SuccessionTurn, phase: 'done' | 'abandoned'): Task<void>;
+  ): Task<SuccessorCandidate | undefined>;
+  /** Records the selected target, then promotes it. */
+  promoteSuccessor(
+    rowWriter: SuccessionRowWriter,
+    target: string,
+  ): Task<SuccessionOutcome>;
+  /** Promotes a target that the row already records. */
+  completePromotion(
+    rowWriter: SuccessionRowWriter,
+    target: string,
+  ): Task<SuccessionOutcome>;
+  /** Records the end of the change, then resumes replication on all targets. */
+  finish(
+    rowWriter: SuccessionRowWriter,
+    phase: 'done' | 'abandoned',
+  ): Task<void>;
 }
 
-/** Targets are let go on only right after the row was written. */
-const FRESH_TURN: Milliseconds = 300;
-/** Time for a target to carry out an order that needs no slot. */
-const ORDER_TIMEOUT: Milliseconds = 400;
-/** Time in which open transactions at a leaving primary may still end. */
-const OPEN_TRANSACTION_TIME: Milliseconds = 120;
-/** How long a successor may take to reach the demoted primary's log end. */
-const CATCH_UP_TIME: Milliseconds = 2000;
-/** How long all replicas are asked again before a change is given up. */
-const STOP_TIME: Milliseconds = 1500;
-const STEP_PAUSE: Milliseconds = 20;
-/** How long the promoted target is asked whether it leads. */
-const LEAD_TIME: Milliseconds = 3000;
-/** Orders for one choice, each with an epoch of its own. */
+/** Replication is resumed only within this time after writing the row began. */
+const RESUME_WINDOW_MS: Milliseconds = 300;
+/** Time for a target to execute an order; orders need no slot. */
+const ORDER_TIMEOUT_MS: Milliseconds = 400;
+/** Time for open transactions at a leaving primary to end. */
+const OPEN_TRANSACTION_GRACE_MS: Milliseconds = 120;
+/** Time for a replica to reach the demoted primary's log end. */
+const CATCH_UP_TIMEOUT_MS: Milliseconds = 2000;
+/** The change is abandoned if not all replicas can be paused within this time. */
+const PAUSE_TIMEOUT_MS: Milliseconds = 1500;
+const POLL_INTERVAL_MS: Milliseconds = 20;
+/** Time for a target to report the primary role after a confirmed promotion. */
+const LEADERSHIP_TIMEOUT_MS: Milliseconds = 3000;
+/** Promotion orders per selected target, each with its own epoch. */
 const MAXIMUM_ORDERS = 6;
 /**
- * An order is answered in milliseconds. Without an answer it may be done, lost,
- * or done seconds later: then the target is asked, and the order repeated.
+ * A promotion order is usually answered within milliseconds. Without an answer it
+ * may have been executed or lost, or may be executed seconds later; the target's
+ * status is then probed before the order is repeated.
  */
-const ORDER_PATIENCE: Milliseconds = 300;
-/** Time of a promotion, up to a second (brief), and to hear of it. */
-const UNANSWERED_LEAD_TIME: Milliseconds = 1250;
+const PROMOTION_REPLY_TIMEOUT_MS: Milliseconds = 300;
+/** Covers a promotion of up to a second and the status probe that detects it. */
+const UNANSWERED_LEADERSHIP_TIMEOUT_MS: Milliseconds = 1250;
+/** A primary is isolated if this many probes in a row find all replicas behind. */
+const ISOLATION_PROBE_COUNT = 2;
+/** Delay before each probe; records normally arrive within a few round trips. */
+const ISOLATION_PROBE_INTERVAL_MS: Milliseconds = 100;
 
-/** Looks at the replicas before a primary is taken for isolated. */
-const ISOLATION_LOOKS = 2;
-/** Pause before each; records arrive within a few round trips. */
-const ISOLATION_PAUSE: Milliseconds = 100;
-
-interface Answered {
+interface ProbedTarget {
   readonly link: TargetLink;
   readonly status: TargetStatus;
 }
@@ -96,51 +115,48 @@
   const {runtime, group, self, onStep} = options;
   const {timer} = runtime;
 
-  /** Writes the choice, has it promoted and lets all receive again. */
-  function* promoteChosen(
-    turn: SuccessionTurn,
+  function* promoteSuccessor(
+    rowWriter: SuccessionRowWriter,
     target: string,
-  ): Task<ChangeOutcome> {
-    if (!(yield* turn.write({phase: 'ordered', target}))) {
+  ): Task<SuccessionOutcome> {
+    if (!(yield* rowWriter.write({phase: 'ordered', target}))) {
       return 'overtaken';
     }
-    return yield* carryOut(turn, target);
+    return yield* completePromotion(rowWriter, target);
   }
 
-  /** Goes on with a choice that is written. */
-  function* carryOut(
-    turn: SuccessionTurn,
+  function* completePromotion(
+    rowWriter: SuccessionRowWriter,
     target: string,
-  ): Task<ChangeOutcome> {
-    if (!(yield* promote(turn, target))) {
+  ): Task<SuccessionOutcome> {
+    if (!(yield* promote(rowWriter, target))) {
       return 'overtaken';
     }
-    yield* finish(turn, 'done');
+    yield* finish(rowWriter, 'done');
     return 'done';
   }
 
-  /** Writes the end and lets all targets receive again. */
   function* finish(
-    turn: SuccessionTurn,
+    rowWriter: SuccessionRowWriter,
     phase: 'done' | 'abandoned',
   ): Task<void> {
     const startedAt = timer.now();
-    if (yield* turn.write({phase})) {
-      yield* resumeAll(startedAt + FRESH_TURN);
+    if (yield* rowWriter.write({phase})) {
+      yield* resumeReplication(startedAt + RESUME_WINDOW_MS);
     }
   }
 
-  /** Asks all at once; those that don't answer are left out. */
-  function* askStatuses(links: readonly TargetLink[]): Task<Answered[]> {
-    const asked = links.map(link => ({link, answer: link.askStatus()}));
-    const answered: Answered[] = [];
-    for (const {link, answer} of asked) {
+  /** Probes all targets in parallel; omits those that don't answer. */
+  function* probeStatuses(links: readonly TargetLink[]): Task<ProbedTarget[]> {
+    const probes = links.map(link => ({link, answer: link.askStatus()}));
+    const probed: ProbedTarget[] = [];
+    for (const {link, answer} of probes) {
       const status = yield* waitFor(answer);
       if (status !== undefined) {
-        answered.push({link, status});
+        probed.push({link, status});
       }
     }
-    return answered;
+    return probed;
   }
 
   function reachedLinks(): TargetLink[] {
@@ -155,12 +171,12 @@
     if (status?.role !== 'primary') {
       return false;
     }
-    for (let look = 0; look < ISOLATION_LOOKS; look++) {
-      yield* sleep(ISOLATION_PAUSE);
-      const replicas = yield* askStatuses(
+    for (let probe = 0; probe < ISOLATION_PROBE_COUNT; probe++) {
+      yield* sleep(ISOLATION_PROBE_INTERVAL_MS);
+      const replicas = yield* probeStatuses(
         reachedLinks().filter(link => link !== leader),
       );
-      const isBehind = ({status: {received}}: Answered) =>
+      const isBehind = ({status: {received}}: ProbedTarget) =>
         compareLogPositions(received, status.received) < 0;
       if (replicas.length === 0 || !replicas.every(isBehind)) {
         return false;
@@ -169,121 +185,139 @@
     return true;
   }
 
-  function* newestTerm(): Task<number> {
+  function* highestTerm(): Task<number> {
     let newest = group.positions.leader()?.term ?? 0;
-    for (const {status} of yield* askStatuses(reachedLinks())) {
+    for (const {status} of yield* probeStatuses(reachedLinks())) {
       const {term, termHeld, received} = status;
       newest = Math.max(newest, term, termHeld, received.term);
     }
     return newest;
   }
 
-  function* order(
+  function* sendOrder(
     link: TargetLink,
     request: TargetOrder,
   ): Task<TargetStatus | undefined> {
-    const reply = yield* waitFor(link.order(request, ORDER_TIMEOUT));
+    const reply = yield* waitFor(link.order(request, ORDER_TIMEOUT_MS));
     return reply.ok ? options.readStatus(reply.val) : undefined;
   }
 
-  function stoppedAs(link: TargetLink, received: LogPosition): StoppedTarget {
+  function toCandidate(
+    link: TargetLink,
+    received: LogPosition,
+  ): SuccessorCandidate {
     const {isLeaving, dataCentre} = link.registration();
     return {target: link.target, received, isLeaving, dataCentre};
   }
 
-  /** The primary stops acknowledging; whoever has its log's end may lead. */
+  /** Falls back to pausing the replicas if the primary does not answer. */
   function* chooseAfterDemotion(
     leader: TargetLink,
     term: number,
-  ): Task<StoppedTarget | undefined> {
-    yield* sleep(OPEN_TRANSACTION_TIME);
-    const demoted = yield* order(leader, {kind: 'demote', term});
+  ): Task<SuccessorCandidate | undefined> {
+    yield* sleep(OPEN_TRANSACTION_GRACE_MS);
+    const demoted = yield* sendOrder(leader, {kind: 'demote', term});
     if (demoted === undefined) {
-      return yield* chooseAfterStop(leader, term);
+      return yield* chooseAfterPause(leader, term);
     }
     onStep('demoted', leader.target, term);
-    const deadline = timer.now() + CATCH_UP_TIME;
+    const deadline = timer.now() + CATCH_UP_TIMEOUT_MS;
     while (timer.now() < deadline) {
       const others = group.links().filter(link => link !== leader);
-      const stopped = (yield* askStatuses(others)).map(({link, status}) =>
-        stoppedAs(link, status.received),
+      const stopped = (yield* probeStatuses(others)).map(({link, status}) =>
+        toCandidate(link, status.received),
       );
-      const demotedAt = demoted.received;
-      const successor = chooseSuccessor({stopped, unanswered: 0, demotedAt});
+      const demotedLogEnd = demoted.received;
+      const successor = chooseSuccessor({
+        stopped,
+        unanswered: 0,
+        demotedLogEnd,
+      });
       if (successor !== undefined) {
         return successor;
       }
-      yield* sleep(STEP_PAUSE);
+      yield* sleep(POLL_INTERVAL_MS);
     }
     return undefined;
   }
 
-  /** Stops all that may receive, and compares what they have received. */
-  function* chooseAfterStop(
+  function* chooseAfterPause(
     leader: TargetLink | undefined,
     term: number,
-  ): Task<StoppedTarget | undefined> {
-    const deadline = timer.now() + STOP_TIME;
-    const stopped = new Map<string, StoppedTarget>();
+  ): Task<SuccessorCandidate | undefined> {
+    const deadline = timer.now() + PAUSE_TIMEOUT_MS;
+    const stopped = new Map<string, SuccessorCandidate>();
     while (timer.now() < deadline) {
       const others = group.links().filter(link => link !== leader);
-      const asked = others
+      const requests = others
         .filter(({target}) => !stopped.has(target))
         .map(link => ({
           link,
-          reply: link.order({kind: 'pause', term}, ORDER_TIMEOUT),
+          reply: link.order({kind: 'pause', term}, ORDER_TIMEOUT_MS),
         }));
-      for (const {link, reply} of asked) {
+      for (const {link, reply} of requests) {
         const answer = yield* waitFor(reply);
         const status = answer.ok ? options.readStatus(answer.val) : undefined;
         if (status !== undefined) {
-          stopped.set(link.target, stoppedAs(link, status.received));
+          stopped.set(link.target, toCandidate(link, status.received));
         }
       }
       const unanswered = others.filter(({target}) => !stopped.has(target));
       const successor = chooseSuccessor({
         stopped: [...stopped.values()],
         unanswered: unanswered.length,
-        demotedAt: undefined,
+        demotedLogEnd: undefined,
       });
       if (successor !== undefined) {
         return successor;
       }
-      yield* sleep(STEP_PAUSE);
+      yield* sleep(POLL_INTERVAL_MS);
     }
     return undefined;
   }
 
   /**
-   * Orders the promotion until the target says that it leads. An order without
-   * an answer may be carried out later: the next one names the same target with
-   * a higher epoch, so that whichever takes effect, the same target leads.
+   * Repeats the promotion order until the target reports the primary role. An
+   * unanswered order may still be executed later, so each repetition names the
+   * same target with a higher epoch; whichever takes effect, the outcome is the
+   * same.
    */
-  function* promote(turn: SuccessionTurn, target: string): Task<boolean> {
-    for (let orders = 0; orders < MAXIMUM_ORDERS; orders++) {
-      const {epoch} = turn.succession();
-      const sent = options.orderPromotion({
+  function* promote(
+    rowWriter: SuccessionRowWriter,
+    target: string,
+  ): Task<boolean> {
+    for (let attempt = 0; attempt < MAXIMUM_ORDERS; attempt++) {
+      const {epoch} = rowWriter.succession();
+      const pendingReply = options.orderPromotion({
         group: group.group,
         target,
         holder: self,
         epoch,
       });
-      const reply = (yield* waitAtMost(sent, ORDER_PATIENCE)) ?? 'unanswered';
+      const reply =
+        (yield* waitAtMost(pendingReply, PROMOTION_REPLY_TIMEOUT_MS)) ??
+        'unanswered';
       onStep(`promotion ${reply}`, target, epoch);
-      const leadTime = reply === 'done' ? LEAD_TIME : UNANSWERED_LEAD_TIME;
+      const leadershipTimeout =
+        reply === 'done'
+          ? LEADERSHIP_TIMEOUT_MS
+          : UNANSWERED_LEADERSHIP_TIMEOUT_MS;
       const mayLead = reply === 'done' || reply === 'unanswered';
-      if (mayLead && (yield* leadsSoon(target, leadTime))) {
+      if (mayLead && (yield* becomesPrimary(target, leadershipTimeout))) {
         return true;
       }
-      if (!(yield* turn.write({epoch: epoch + 1}))) {
+      if (!(yield* rowWriter.write({epoch: epoch + 1}))) {
         return false;
       }
     }
     return false;
   }
 
-  function* leadsSoon(target: string, leadTime: Milliseconds): Task<boolean> {
-    const deadline = timer.now() + leadTime;
+  function* becomesPrimary(
+    target: string,
+    timeout: Milliseconds,
+  ): Task<boolean> {
+    const deadline = timer.now() + timeout;
     while (timer.now() < deadline) {
       const link = group.link(target);
       if (link === undefined || !link.isReached()) {
@@ -293,31 +327,31 @@
       if (status?.role === 'primary') {
         return true;
       }
-      yield* sleep(STEP_PAUSE);
+      yield* sleep(POLL_INTERVAL_MS);
     }
     return false;
   }
 
   /**
-   * Nothing is sent after `until`: a proxy that stood still meanwhile could let
-   * targets go on that another one has stopped by then.
+   * Sends nothing after `until`. A proxy that was suspended in the meantime could
+   * otherwise resume targets that another proxy has paused.
    */
-  function* resumeAll(until: Milliseconds): Task<void> {
-    const asked = reachedLinks().map(link =>
-      link.order({kind: 'resume'}, ORDER_TIMEOUT, until),
+  function* resumeReplication(until: Milliseconds): Task<void> {
+    const replies = reachedLinks().map(link =>
+      link.order({kind: 'resume'}, ORDER_TIMEOUT_MS, until),
     );
-    for (const reply of asked) {
+    for (const reply of replies) {
       yield* waitFor(reply);
     }
   }
 
   return {
     isIsolated,
-    newestTerm,
+    highestTerm,
     chooseAfterDemotion,
-    chooseAfterStop,
-    promoteChosen,
-    carryOut,
+    chooseAfterPause,
+    promoteSuccessor,
+    completePromotion,
     finish,
   };
 }
