--- a/packages/routing/index.ts
+++ b/packages/routing/index.ts
@@ -1,4 +1,4 @@
-/** Which target serves a read or write; the request service. */
+/** Target selection for reads, and the service for callers' requests. */
 export * from './src/limits';
 export * from './src/policies';
 export * from './src/read_policy';
--- a/packages/routing/src/active_request.ts
+++ b/packages/routing/src/active_request.ts
@@ -1,26 +1,26 @@
-/** A request that is being served. */
+/** Requests that are being served, and their sessions. */
 import {LogPosition, EMPTY_LOG_END} from '@kelpstep/protocol';
 import type {RequestContext} from '@kelpstep/request-ledger';
 import {encodeToken, withPosition} from '@kelpstep/session';
 
 import type {GroupRecord} from './group_record';
-import type {CheckedRequest} from './request_intake';
+import type {ValidatedRequest} from './request_validation';
 
 /** A request that is being served. */
 export interface ActiveRequest {
-  readonly checked: CheckedRequest;
+  readonly validated: ValidatedRequest;
   readonly context: RequestContext;
   readonly record: GroupRecord;
-  /** The token that the session was read from. */
+  /** The session token as received; empty if there was none. */
   readonly token: string;
 }
 
-/** The session's token after an answer that was made at a log position. */
+/** Returns the session token to send with an answer made at a log position. */
 export function tokenAfter(
-  {checked, record, token}: ActiveRequest,
+  {validated, record, token}: ActiveRequest,
   at: LogPosition,
 ): string {
-  const {session, group} = checked;
+  const {session, group} = validated;
   const next = withPosition(session, group.name, at);
   if (next === session) {
     return token;
@@ -28,7 +28,7 @@
   return next.size === 1 ? record.tokenOf(next, at) : encodeToken(next);
 }
 
-/** What the session has seen of the group, nothing without a token. */
-export function seenBy({checked}: ActiveRequest): LogPosition {
-  return checked.seen ?? EMPTY_LOG_END;
+/** Log position of the group that the session has seen; the start if none. */
+export function seenPosition({validated}: ActiveRequest): LogPosition {
+  return validated.seen ?? EMPTY_LOG_END;
 }
--- a/packages/routing/src/caller_methods.ts
+++ b/packages/routing/src/caller_methods.ts
@@ -1,4 +1,4 @@
-/** What callers' methods do, once a request passed the first checks. */
+/** Implements the callers' methods for validated requests. */
 import {
   Failure,
   IdempotencyKey,
@@ -20,7 +20,7 @@
 import type {Task} from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
 
-import {ActiveRequest, seenBy, tokenAfter} from './active_request';
+import {ActiveRequest, seenPosition, tokenAfter} from './active_request';
 import type {KeyCheck} from './key_check';
 import type {
   TransactionParameters,
@@ -31,16 +31,16 @@
 import type {RequestServiceOptions} from './service_types';
 import type {TransactionRequests} from './transaction_requests';
 
-/** Serves one request that passed the first checks. */
-export type Serve<P, R> = (
+/** Serves a validated request. */
+export type RequestHandler<P, R> = (
   parameters: P,
   request: ActiveRequest,
 ) => Task<Result<R, Failure>>;
 
-/** Serves a method by its messages. */
-export type ServeMethod<M> = Serve<ParametersOf<M>, ResultOf<M>>;
+/** Handler with the parameters and result of a method. */
+export type MethodHandler<M> = RequestHandler<ParametersOf<M>, ResultOf<M>>;
 
-/** What callers' methods need. */
+/** Options of `createCallerMethods`. */
 export interface CallerMethodsOptions {
   readonly service: RequestServiceOptions;
   readonly readPolicy: ReadPolicy;
@@ -50,23 +50,23 @@
   makeKey(): IdempotencyKey;
 }
 
-/** Callers' methods. */
+/** Handlers of the callers' methods. */
 export interface CallerMethods {
-  readonly read: ServeMethod<typeof callerRead>;
-  readonly write: ServeMethod<typeof callerWrite>;
-  readonly begin: ServeMethod<typeof callerBegin>;
-  readonly commit: Serve<
+  readonly read: MethodHandler<typeof callerRead>;
+  readonly write: MethodHandler<typeof callerWrite>;
+  readonly begin: MethodHandler<typeof callerBegin>;
+  readonly commit: RequestHandler<
     TransactionParameters<'commit'>,
     TransactionResult<'commit'>
   >;
-  readonly rollback: Serve<
+  readonly rollback: RequestHandler<
     TransactionParameters<'rollback'>,
     TransactionResult<'rollback'>
   >;
-  readonly outcome: ServeMethod<typeof callerOutcome>;
+  readonly outcome: MethodHandler<typeof callerOutcome>;
 }
 
-/** Creates callers' methods. */
+/** Creates the handlers of the callers' methods. */
 export function createCallerMethods(
   options: CallerMethodsOptions,
 ): CallerMethods {
@@ -81,7 +81,7 @@
     if (parameters.transaction !== undefined) {
       return yield* transactionRequests.serve('read', parameters, request);
     }
-    const {context, record, checked} = request;
+    const {context, record, validated} = request;
     const readOptions = {
       context,
       record,
@@ -90,8 +90,8 @@
     };
     const result = yield* runRead(readOptions, {
       statement: parameters.statement,
-      seen: checked.seen,
-      maximumAge: parameters.maximumAge ?? checked.group.readStaleness,
+      seen: validated.seen,
+      maximumAge: parameters.maximumAge ?? validated.group.readStaleness,
     });
     if (result.err) {
       return result;
@@ -115,15 +115,15 @@
     }
     const {statement} = parameters;
     const key = parameters.key ?? makeKey();
-    const fault = checkKey(key, request.checked.manifest);
-    if (fault !== undefined) {
-      return Err(fault);
+    const failure = checkKey(key, request.validated.manifest);
+    if (failure !== undefined) {
+      return Err(failure);
     }
     const written = yield* runWrite(request.context, {statement, key});
     return written.map(({rows, at, duplicate}) => ({
       rows,
       token: tokenAfter(request, at),
-      // A key made here was recorded by an attempt of this very request.
+      // A generated key can only have been recorded by this request itself.
       duplicate: duplicate && parameters.key !== undefined,
     }));
   }
@@ -142,7 +142,7 @@
     const begun = yield* transactions.begin(
       request.context,
       transaction,
-      seenBy(request),
+      seenPosition(request),
     );
     return begun.map(floor => ({
       transaction,
@@ -154,9 +154,9 @@
     {key}: ParametersOf<typeof callerOutcome>,
     request: ActiveRequest,
   ): Task<Result<ResultOf<typeof callerOutcome>, Failure>> {
-    const fault = checkKey(key, request.checked.manifest);
-    if (fault !== undefined) {
-      return Err(fault);
+    const failure = checkKey(key, request.validated.manifest);
+    if (failure !== undefined) {
+      return Err(failure);
     }
     const settled = yield* settleKey(request.context, key);
     return settled.map(state => ({
--- a/packages/routing/src/group_record.ts
+++ b/packages/routing/src/group_record.ts
@@ -1,4 +1,4 @@
-/** What this proxy keeps of one group: its targets' pools and its troubles. */
+/** State of a group at this proxy: the targets' pools and primary outages. */
 import type {GroupView, MemberView} from '@kelpstep/failover';
 import type {Group, Member} from '@kelpstep/manifest';
 import {
@@ -13,7 +13,7 @@
 import type {Milliseconds, Runtime, Unsubscribe} from '@kelpstep/runtime';
 import {Session, encodeToken} from '@kelpstep/session';
 
-/** What a record is made of. */
+/** Options of `createGroupRecord`. */
 export interface GroupRecordOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -26,42 +26,44 @@
   readonly leavingGrace: Milliseconds;
 }
 
-/** A group as this proxy uses it. */
+/** State of a group at this proxy. */
 export interface GroupRecord extends GroupAccess {
   readonly view: GroupView;
   group(): Group;
-  /** Members, as of at most a millisecond ago. */
+  /** Members, cached for at most a millisecond. */
   members(): readonly MemberView[];
-  /** Tells that a request uses the group. */
+  /** Records that a request uses the group. */
   touch(): void;
-  /** The manifest or the number of live proxies changed. */
+  /** Applies a changed manifest or number of live proxies. */
   update(group: Group, liveProxies: number): void;
-  /** Warms, trims and probes connections; called a few times a second. */
+  /** Opens, trims and probes idle connections; called a few times a second. */
   tick(): void;
-  /** Token of a session that has seen this group only; kept while it stays. */
+  /** Encodes a session that covers only this group; caches the last token. */
   tokenOf(session: Session, at: LogPosition): string;
   pools(): ReadonlyMap<string, TargetPool>;
   close(): void;
 }
 
-/** Trouble that no request met for this long is over. */
-const TROUBLE_MEMORY: Milliseconds = 2_000;
-/** The view of a group that was idle is open after this. */
-const COLD_START: Milliseconds = 200;
-/** A view closes its streams when its group is idle for this long. */
-const VIEW_IDLE: Milliseconds = 5_000;
-/** A group not used for this long keeps no connections warm. */
-const IDLE_GROUP: Milliseconds = 60_000;
-const MEMBERS_VALIDITY: Milliseconds = 1;
-const CONFIRMATION_WEIGHT = 0.1;
-const PEAK_DECAY = 0.95;
+/** A primary outage is over if no request has met it for this long. */
+const OUTAGE_MEMORY_MS: Milliseconds = 2_000;
+/** Time for the view of an idle group to open its streams. */
+const COLD_START_MS: Milliseconds = 200;
+/** A view closes its streams after its group was idle for this long. */
+const VIEW_IDLE_TIMEOUT_MS: Milliseconds = 5_000;
+/** No connections are kept open for a group idle for this long. */
+const GROUP_IDLE_TIMEOUT_MS: Milliseconds = 60_000;
+const MEMBERS_CACHE_TIME_MS: Milliseconds = 1;
+/** Weight of a new sample in the moving average of confirmation times. */
+const CONFIRMATION_SMOOTHING_RATIO = 0.1;
+/** Factor by which the peak load of the primary decays with each tick. */
+const PEAK_DECAY_RATIO = 0.95;
 
 interface PoolEntry {
   readonly member: Member;
   readonly pool: TargetPool;
 }
 
-/** Creates the record of a group that is not used yet. */
+/** Creates the record of a group that has not been used yet. */
 export function createGroupRecord(options: GroupRecordOptions): GroupRecord {
   const {runtime, view} = options;
   const {timer} = runtime;
@@ -71,11 +73,11 @@
   let usedAt = -Infinity;
   let members: readonly MemberView[] = [];
   let membersAt = -Infinity;
-  let trouble: {since: Milliseconds; notedAt: Milliseconds} | undefined;
+  let outage: {since: Milliseconds; notedAt: Milliseconds} | undefined;
   let majorityLostSince: Milliseconds | undefined;
   let coldUntil = -Infinity;
   let confirmationTime = 0;
-  let peakAtPrimary = 1;
+  let peakInFlight = 1;
   let lastToken: {readonly at: LogPosition; readonly text: string} | undefined;
   let lastTerm = view.leadership()?.term ?? 0;
 
@@ -105,7 +107,7 @@
     return created;
   }
 
-  function isSamePlace(left: Member, right: Member | undefined): boolean {
+  function isSameEndpoint(left: Member, right: Member | undefined): boolean {
     return left.address === right?.address && left.slots === right.slots;
   }
 
@@ -115,17 +117,17 @@
     membersAt = -Infinity;
     for (const [id, entry] of entries) {
       const member = group.members.find(candidate => candidate.id === id);
-      if (member === undefined || !isSamePlace(entry.member, member)) {
+      if (member === undefined || !isSameEndpoint(entry.member, member)) {
         entries.delete(id);
         entry.pool.close();
       } else {
         entry.pool.updateShare(member.connectionLimit, liveProxies);
       }
     }
-    noteChange();
+    refresh();
   }
 
-  function noteChange(): void {
+  function refresh(): void {
     membersAt = -Infinity;
     const now = timer.now();
     majorityLostSince = reachesMajority(view)
@@ -141,14 +143,14 @@
     const term = view.leadership()?.term ?? 0;
     if (term > lastTerm) {
       lastTerm = term;
-      trouble = undefined;
-      warm();
+      outage = undefined;
+      warmConnections();
     }
   }
 
   function currentMembers(): readonly MemberView[] {
     const now = timer.now();
-    if (now - membersAt >= MEMBERS_VALIDITY) {
+    if (now - membersAt >= MEMBERS_CACHE_TIME_MS) {
       members = view.members();
       membersAt = now;
     }
@@ -158,12 +160,12 @@
   function noteTrouble(): void {
     const now = timer.now();
     const isNew =
-      trouble === undefined || now - trouble.notedAt > TROUBLE_MEMORY;
-    const since = isNew || trouble === undefined ? now : trouble.since;
-    trouble = {since, notedAt: now};
+      outage === undefined || now - outage.notedAt > OUTAGE_MEMORY_MS;
+    const since = isNew || outage === undefined ? now : outage.since;
+    outage = {since, notedAt: now};
   }
 
-  /** The replica that would be promoted: the one that is farthest. */
+  /** The likely successor of the primary: the replica with the longest log. */
   function likelyNextPrimary(primary: string | undefined): string | undefined {
     let best: MemberView | undefined;
     for (const candidate of currentMembers()) {
@@ -181,15 +183,15 @@
     return best?.member.id;
   }
 
-  /** Where writes go next needs as many connections as where they go now. */
-  function warm(): void {
-    const isIdle = timer.now() - usedAt > IDLE_GROUP;
+  /** Keeps as many connections open to the likely next primary as to the primary. */
+  function warmConnections(): void {
+    const isIdle = timer.now() - usedAt > GROUP_IDLE_TIMEOUT_MS;
     const primary = view.leadership()?.primary;
-    const next = likelyNextPrimary(primary);
+    const nextPrimary = likelyNextPrimary(primary);
     for (const {member, leaving} of currentMembers()) {
-      const takesWrites = member.id === primary || member.id === next;
-      const wanted = takesWrites ? Math.ceil(peakAtPrimary) : 1;
-      pool(member.id)?.keepWarm(isIdle || leaving ? 0 : wanted);
+      const takesWrites = member.id === primary || member.id === nextPrimary;
+      const connectionCount = takesWrites ? Math.ceil(peakInFlight) : 1;
+      pool(member.id)?.keepWarm(isIdle || leaving ? 0 : connectionCount);
     }
   }
 
@@ -197,12 +199,12 @@
     const primary = view.leadership()?.primary;
     const load =
       primary === undefined ? undefined : entries.get(primary)?.pool.load();
-    peakAtPrimary = Math.max(
+    peakInFlight = Math.max(
       1,
-      peakAtPrimary * PEAK_DECAY,
+      peakInFlight * PEAK_DECAY_RATIO,
       load?.inFlight ?? 0,
     );
-    warm();
+    warmConnections();
     entries.forEach(entry => entry.pool.tick());
   }
 
@@ -211,11 +213,11 @@
     const idleTime = now - usedAt;
     usedAt = now;
     view.touch();
-    if (idleTime > VIEW_IDLE) {
-      coldUntil = now + COLD_START;
+    if (idleTime > VIEW_IDLE_TIMEOUT_MS) {
+      coldUntil = now + COLD_START_MS;
     }
-    if (idleTime > IDLE_GROUP) {
-      warm();
+    if (idleTime > GROUP_IDLE_TIMEOUT_MS) {
+      warmConnections();
     }
   }
 
@@ -229,8 +231,8 @@
     return lastToken.text;
   }
 
-  const stopFollowing: Unsubscribe = view.onChange(noteChange);
-  noteChange();
+  const unsubscribe: Unsubscribe = view.onChange(refresh);
+  refresh();
 
   return {
     view,
@@ -247,19 +249,20 @@
       const since = leavingSince.get(memberId);
       return since === undefined || timer.now() - since < options.leavingGrace;
     },
-    troubleSince: () => trouble?.since,
+    troubleSince: () => outage?.since,
     majorityLostSince: () => majorityLostSince,
     isCold: () => timer.now() < coldUntil,
     noteTrouble,
     noteService() {
-      trouble = undefined;
+      outage = undefined;
     },
     confirmationTime: () => confirmationTime,
     noteConfirmationTime(duration) {
-      confirmationTime += CONFIRMATION_WEIGHT * (duration - confirmationTime);
+      confirmationTime +=
+        CONFIRMATION_SMOOTHING_RATIO * (duration - confirmationTime);
     },
     close() {
-      stopFollowing();
+      unsubscribe();
       entries.forEach(entry => entry.pool.close());
     },
   };
--- a/packages/routing/src/group_table.ts
+++ b/packages/routing/src/group_table.ts
@@ -1,4 +1,4 @@
-/** The groups that this proxy uses. */
+/** The records of the groups that this proxy uses. */
 import type {Group} from '@kelpstep/manifest';
 import {DEFAULT_CONNECTION_TIMES} from '@kelpstep/pool';
 
@@ -7,20 +7,23 @@
 import type {RequestPolicies} from './policies';
 import type {RequestServiceOptions, TargetLoad} from './service_types';
 
-/** The groups that this proxy uses. */
+/** The records of the groups that this proxy uses, by name. */
 export interface GroupTable {
-  /** The record of a group of the manifest; made at its first use. */
+  /**
+   * The record of a group of the manifest, created at its first use; undefined
+   * while the group has no view.
+   */
   get(group: Group): GroupRecord | undefined;
-  /** Follows the manifest in force and the number of live proxies. */
+  /** Applies the manifest in force and the number of live proxies. */
   reconfigure(): void;
   loads(): TargetLoad[];
   close(): void;
 }
 
-/** How often connections are warmed, trimmed and probed. */
-const TICK_PERIOD = 250;
+/** Interval at which idle connections are opened, trimmed and probed. */
+const TICK_INTERVAL_MS = 250;
 
-/** Creates a table without records. */
+/** Creates an empty table. */
 export function createGroupTable(
   options: RequestServiceOptions,
   policies: RequestPolicies,
@@ -31,11 +34,11 @@
 
   function get(group: Group): GroupRecord | undefined {
     const view = options.groupView(group.name);
-    const known = records.get(group.name);
-    if (known !== undefined && known.view === view) {
-      return known;
+    const existing = records.get(group.name);
+    if (existing !== undefined && existing.view === view) {
+      return existing;
     }
-    known?.close();
+    existing?.close();
     records.delete(group.name);
     if (view === undefined) {
       return undefined;
@@ -75,7 +78,7 @@
     );
   }
 
-  const stopTicking = runtime.timer.every(TICK_PERIOD, () =>
+  const stopTicking = runtime.timer.every(TICK_INTERVAL_MS, () =>
     records.forEach(record => record.tick()),
   );
 
--- a/packages/routing/src/key_check.ts
+++ b/packages/routing/src/key_check.ts
@@ -1,4 +1,4 @@
-/** The check of a key's age against the manifest in force. */
+/** Checks the age of idempotency keys against the manifest in force. */
 import type {Manifest} from '@kelpstep/manifest';
 import type {Failure, IdempotencyKey} from '@kelpstep/protocol';
 import {checkKeyAge} from '@kelpstep/request-ledger';
@@ -6,13 +6,13 @@
 
 import type {RequestLimits} from './limits';
 
-/** Gives a failure if targets can't be relied on to remember the key. */
+/** Returns a failure if the targets cannot be relied on to retain the key. */
 export type KeyCheck = (
   key: IdempotencyKey,
   manifest: Manifest,
 ) => Failure | undefined;
 
-/** Creates the check. */
+/** Creates a key check. */
 export function createKeyCheck(
   timer: TimerService,
   limits: RequestLimits,
--- a/packages/routing/src/limits.ts
+++ b/packages/routing/src/limits.ts
@@ -1,29 +1,29 @@
-/** Limits of the request service. All times in milliseconds. */
+/** Limits of the request service. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Limits of the request service. */
+/** Limits of the request service. All times are in milliseconds. */
 export interface RequestLimits {
-  /** Time for an answer if neither request nor kind states one. */
+  /** Time for an answer if neither the request nor its kind sets a deadline. */
   readonly defaultDeadline: Milliseconds;
-  /** Worth of a request that names no kind. */
+  /** Relative value of a request without a kind. */
   readonly defaultWorth: number;
-  /** Longest time that a request may ask for. */
+  /** Upper bound for the time until a request's deadline. */
   readonly maximumDeadline: Milliseconds;
-  /** A key may lie this far ahead of the proxy's clock. */
+  /** How far the issue time of a key may be ahead of the proxy's clock. */
   readonly clockTolerance: Milliseconds;
-  /** A key is refused this long before its targets forget it. */
+  /** A key is rejected this long before the targets discard it. */
   readonly keyExpiryMargin: Milliseconds;
   /** A transaction without a statement for this long is rolled back. */
   readonly transactionIdleTime: Milliseconds;
   /** A transaction older than this is rolled back. */
   readonly transactionTotalTime: Milliseconds;
-  /** Writes still go to a leaving primary for this long. */
+  /** Writes are sent to a leaving primary for at most this long. */
   readonly leavingGrace: Milliseconds;
-  /** Requests that wait for one target at most. */
+  /** Maximum number of requests queued per target. */
   readonly queueCapacity: number;
 }
 
-/** Limits that hold unless settings say otherwise. */
+/** Default limits. */
 export const DEFAULT_REQUEST_LIMITS: RequestLimits = {
   defaultDeadline: 5_000,
   defaultWorth: 1,
--- a/packages/routing/src/local_transactions.ts
+++ b/packages/routing/src/local_transactions.ts
@@ -1,4 +1,4 @@
-/** Requests of transactions that are here, or that nobody holds any more. */
+/** Serves requests of transactions held by this proxy or by no live proxy. */
 import {
   Failure,
   IdempotencyKey,
@@ -21,11 +21,11 @@
 import type {Task, TimerService} from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
 
-import {ActiveRequest, seenBy, tokenAfter} from './active_request';
+import {ActiveRequest, seenPosition, tokenAfter} from './active_request';
 import type {KeyCheck} from './key_check';
 import type {ForwardedMethod} from './service_types';
 
-/** Parameters and results of the methods that transactions use. */
+/** The methods that requests of a transaction may call. */
 interface TransactionMethods {
   read: typeof callerRead;
   write: typeof callerWrite;
@@ -33,42 +33,42 @@
   rollback: typeof callerRollback;
 }
 
-/** Parameters of a method of transactions. */
+/** Parameters of a transaction method. */
 export type TransactionParameters<M extends ForwardedMethod> = ParametersOf<
   TransactionMethods[M]
 >;
 
-/** Result of a method of transactions. */
+/** Result of a transaction method. */
 export type TransactionResult<M extends ForwardedMethod> = ResultOf<
   TransactionMethods[M]
 >;
 
-/** A transaction's id and its parts. */
-export interface NamedTransaction {
+/** A transaction id and its parsed parts. */
+export interface ParsedTransaction {
   readonly id: string;
   readonly name: TransactionName;
 }
 
-/** The answer to any of the methods. */
+/** Task whose result is the answer of any transaction method. */
 export type TransactionReply = Task<Result<unknown, Failure>>;
 
-/** Serves requests of transactions without asking another proxy. */
+/** Serves requests of transactions without contacting another proxy. */
 export interface LocalTransactions {
   serve(
     method: ForwardedMethod,
     parameters: unknown,
-    transaction: NamedTransaction,
+    transaction: ParsedTransaction,
     request: ActiveRequest,
   ): TransactionReply;
-  /** Settles a commit whose transaction nobody holds any more. */
+  /** Determines the outcome of a commit whose transaction no proxy holds. */
   resolve(
     key: IdempotencyKey | undefined,
-    transaction: NamedTransaction,
+    transaction: ParsedTransaction,
     request: ActiveRequest,
   ): Task<Result<TransactionResult<'commit'>, Failure>>;
 }
 
-/** What local transactions need. */
+/** Options of `createLocalTransactions`. */
 export interface LocalTransactionsOptions {
   readonly timer: TimerService;
   readonly transactions: TransactionTable;
@@ -91,13 +91,13 @@
     const answer = yield* transactions.run(context, id, {
       statement,
       mode: 'read',
-      seen: seenBy(request),
+      seen: seenPosition(request),
     });
     if (answer.err) {
       return answer;
     }
     const {execution, target} = answer.val;
-    const age = ageOf(answer.val, record);
+    const age = dataAge(answer.val, record);
     context.notes.age = age;
     if (maximumAge !== undefined && age > maximumAge) {
       return Err(createFailure('NO_FRESH_TARGET'));
@@ -110,7 +110,7 @@
     });
   }
 
-  function ageOf(
+  function dataAge(
     {target, freshAt}: TransactionAnswer,
     record: ActiveRequest['record'],
   ): number {
@@ -131,7 +131,7 @@
     const answer = yield* transactions.run(request.context, id, {
       statement,
       mode: 'write',
-      seen: seenBy(request),
+      seen: seenPosition(request),
     });
     return answer.map(({execution}) => ({
       rows: execution.rows,
@@ -142,14 +142,14 @@
 
   function* commit(
     {key}: TransactionParameters<'commit'>,
-    transaction: NamedTransaction,
+    transaction: ParsedTransaction,
     request: ActiveRequest,
   ): Task<Result<TransactionResult<'commit'>, Failure>> {
     const {id, name} = transaction;
     const effectiveKey = key ?? commitKeyOf(id, name);
-    const fault = checkKey(effectiveKey, request.checked.manifest);
-    if (fault !== undefined) {
-      return Err(fault);
+    const failure = checkKey(effectiveKey, request.validated.manifest);
+    if (failure !== undefined) {
+      return Err(failure);
     }
     if (!transactions.has(id)) {
       return yield* resolve(key, transaction, request);
@@ -164,12 +164,12 @@
 
   function* resolve(
     key: IdempotencyKey | undefined,
-    {id, name}: NamedTransaction,
+    {id, name}: ParsedTransaction,
     request: ActiveRequest,
   ): Task<Result<TransactionResult<'commit'>, Failure>> {
-    const derived = commitKeyOf(id, name);
-    // An earlier commit may have come without the key that this one has.
-    const keys = key === undefined ? [derived] : [key, derived];
+    const derivedKey = commitKeyOf(id, name);
+    // An earlier commit request may have been sent without the caller's key.
+    const keys = key === undefined ? [derivedKey] : [key, derivedKey];
     const resolved = yield* resolveCommit(request.context, keys);
     return resolved.map(({at}) => ({
       token: tokenAfter(request, at),
@@ -190,7 +190,7 @@
   function serve(
     method: ForwardedMethod,
     parameters: unknown,
-    transaction: NamedTransaction,
+    transaction: ParsedTransaction,
     request: ActiveRequest,
   ): TransactionReply {
     const {id} = transaction;
--- a/packages/routing/src/policies.ts
+++ b/packages/routing/src/policies.ts
@@ -1,4 +1,4 @@
-/** Policies of the request path, each a function passed in. */
+/** The replaceable policies of request processing. */
 import {
   PoolPolicies,
   RetryBudgetSettings,
@@ -13,7 +13,7 @@
   LedgerPolicies,
 } from '@kelpstep/request-ledger';
 
-import {ReadPolicy, createReplicaPreference} from './read_policy';
+import {ReadPolicy, createReplicaPreferencePolicy} from './read_policy';
 
 /** Policies of the request service. */
 export interface RequestPolicies extends PoolPolicies, LedgerPolicies {
@@ -21,13 +21,13 @@
   readonly retryBudget: RetryBudgetSettings;
 }
 
-/** Policies unless others are passed. */
+/** Default policies. */
 export const DEFAULT_REQUEST_POLICIES: RequestPolicies = {
   ...DEFAULT_LEDGER_POLICIES,
   queue: WORTH_PER_SLOT_TIME,
   createConcurrencyLimit: createAdaptiveLimit,
   retryAfter: spreadRetryAfter,
   connectionShare: borrowingShare,
-  read: createReplicaPreference(),
+  read: createReplicaPreferencePolicy(),
   retryBudget: DEFAULT_RETRY_BUDGET,
 };
--- a/packages/routing/src/read.ts
+++ b/packages/routing/src/read.ts
@@ -1,4 +1,4 @@
-/** Reads outside of transactions: choosing, waiting, trying elsewhere. */
+/** Reads outside of transactions: target selection, waiting and retries. */
 import {Failure, LogPosition, createFailure} from '@kelpstep/protocol';
 import {remainingTime} from '@kelpstep/request-ledger';
 import {Milliseconds, Task, sleep} from '@kelpstep/runtime';
@@ -9,9 +9,12 @@
 import type {ReadTarget} from './read_policy';
 import type {ReadAnswer, ReadOptions, ReadRequest} from './read_types';
 
-type Elsewhere = Extract<ReadAttemptEnd, {kind: 'elsewhere'}>;
+type RetryableEnd = Extract<ReadAttemptEnd, {kind: 'elsewhere'}>;
 
-/** Serves a read; a failure means that the caller got nothing of it. */
+/**
+ * Serves a read; retries at other targets until the deadline. A read that fails
+ * has returned no data to the caller.
+ */
 export function* runRead(
   options: ReadOptions,
   request: ReadRequest,
@@ -23,16 +26,16 @@
   let rounds = 0;
   let waited: Milliseconds = 0;
 
-  function* pause(): Task<void> {
+  function* backOff(): Task<void> {
     rounds += 1;
     const wait = context.policies.backoff(rounds, random);
     yield* sleep(Math.max(0, Math.min(wait, remainingTime(context))));
   }
 
-  /** Gives a failure if there shall be no other try. */
+  /** Returns a failure if the read must not be retried. */
   function* prepareRetry(
     {id}: ReadTarget,
-    {failure, wasSent}: Elsewhere,
+    {failure, wasSent}: RetryableEnd,
   ): Task<Failure | undefined> {
     candidates.exclude(id);
     lastFailure = failure;
@@ -43,33 +46,36 @@
       return failure;
     }
     context.notes.retries += 1;
-    candidates.forgetBarrier();
+    candidates.allowBarrier();
     if (context.notes.retries > 1) {
-      yield* pause();
+      yield* backOff();
     }
     return undefined;
   }
 
-  /** All were tried: from the start after a pause, unless all are full. */
-  function* startOver(): Task<Failure | undefined> {
+  /**
+   * Makes all targets available again after a backoff, once every target was
+   * tried. Returns a failure if the last target was overloaded.
+   */
+  function* restartRound(): Task<Failure | undefined> {
     if (lastFailure.name === 'OVERLOADED') {
       return lastFailure;
     }
-    yield* pause();
+    yield* backOff();
     candidates.includeAll();
     return undefined;
   }
 
-  const wanted = request.seen ?? (yield* candidates.askBarrier());
+  const requiredPosition = request.seen ?? (yield* candidates.requestBarrier());
   let isExhausted = false;
-  if (wanted === undefined) {
+  if (requiredPosition === undefined) {
     return Err(lastFailure);
   }
   while (remainingTime(context) > 0) {
-    const targets = candidates.list(wanted);
+    const targets = candidates.list(requiredPosition);
     if (targets.length === 0 && isExhausted) {
       isExhausted = false;
-      const failure = yield* startOver();
+      const failure = yield* restartRound();
       if (failure !== undefined) {
         return Err(failure);
       }
@@ -81,7 +87,7 @@
         maximumAge: request.maximumAge,
         remaining: remainingTime(context),
         waited,
-        mayAskBarrier: candidates.mayAskBarrier(),
+        mayRequestBarrier: candidates.mayRequestBarrier(),
       },
       random,
     );
@@ -90,7 +96,12 @@
         ? targets.find(({id}) => id === plan.target)
         : undefined;
     if (chosen !== undefined) {
-      const end = yield* attemptRead(options, request, chosen, wanted);
+      const end = yield* attemptRead(
+        options,
+        request,
+        chosen,
+        requiredPosition,
+      );
       if (end.kind === 'answered') {
         return Ok(end.answer);
       }
@@ -106,7 +117,8 @@
       waited += plan.duration;
       yield* sleep(plan.duration);
     } else if (plan.action === 'ask-barrier') {
-      const position: LogPosition | undefined = yield* candidates.askBarrier();
+      const position: LogPosition | undefined =
+        yield* candidates.requestBarrier();
       if (position === undefined) {
         return Err(lastFailure);
       }
--- a/packages/routing/src/read_attempt.ts
+++ b/packages/routing/src/read_attempt.ts
@@ -1,4 +1,4 @@
-/** One try of a read at one target. */
+/** A single attempt of a read at one target. */
 import {
   Execution,
   Failure,
@@ -14,28 +14,31 @@
 import type {ReadTarget} from './read_policy';
 import type {ReadAnswer, ReadOptions, ReadRequest} from './read_types';
 
-/** How a try ended. */
+/** Result of an attempt. */
 export type ReadAttemptEnd =
   | {readonly kind: 'answered'; readonly answer: ReadAnswer}
   | {readonly kind: 'failed'; readonly failure: Failure}
-  /** Another target may do better. If nothing was sent, that is no retry. */
+  /**
+   * Another target may be tried. Counts as a retry only if the statement was
+   * sent.
+   */
   | {
       readonly kind: 'elsewhere';
       readonly failure: Failure;
       readonly wasSent: boolean;
     };
 
-/** Sends a read to a target and judges what comes back. */
+/** Sends a read to a target and checks the answer. */
 export function* attemptRead(
   options: ReadOptions,
   request: ReadRequest,
   candidate: ReadTarget,
-  wanted: LogPosition,
+  requiredPosition: LogPosition,
 ): Task<ReadAttemptEnd> {
   const {context, record} = options;
   const pool = record.pool(candidate.id);
   if (pool === undefined) {
-    return elsewhere('NO_FRESH_TARGET', false);
+    return retryElsewhere('NO_FRESH_TARGET', false);
   }
   const {kind, worth, deadline} = context;
   const timeout = context.policies.attemptTimeout({
@@ -52,18 +55,24 @@
   );
   context.notes.queueTime += attempt.queueTime;
   return attempt.reply.ok
-    ? yield* checkAnswer(options, request, candidate, wanted, attempt.reply.val)
-    : judgeFailure(options, candidate, attempt.reply.val);
+    ? yield* checkAnswer(
+        options,
+        request,
+        candidate,
+        requiredPosition,
+        attempt.reply.val,
+      )
+    : classifyFailure(options, candidate, attempt.reply.val);
 }
 
-function elsewhere(
+function retryElsewhere(
   name: 'NO_FRESH_TARGET' | 'TIMED_OUT',
   wasSent: boolean,
 ): ReadAttemptEnd {
   return {kind: 'elsewhere', failure: createFailure(name), wasSent};
 }
 
-function judgeFailure(
+function classifyFailure(
   {record}: ReadOptions,
   {id}: ReadTarget,
   {kind, sent, failure}: RequestFailure,
@@ -76,30 +85,30 @@
   }
   return kind === 'refused' && failure.name === 'STATEMENT_FAILED'
     ? {kind: 'failed', failure}
-    : elsewhere('TIMED_OUT', sent);
+    : retryElsewhere('TIMED_OUT', sent);
 }
 
 /**
- * An answer leaves only if it holds what the session has seen, if what it was
- * read from is confirmed, and while it is fresh enough.
+ * Accepts an answer only if it was read at or after the required position, if
+ * the position that it was read at is confirmed, and if it is fresh enough.
  */
 function* checkAnswer(
   {context, record}: ReadOptions,
   {maximumAge}: ReadRequest,
   {id, isPrimary}: ReadTarget,
-  wanted: LogPosition,
+  requiredPosition: LogPosition,
   execution: Execution,
 ): Task<ReadAttemptEnd> {
-  if (compareLogPositions(execution.at, wanted) < 0) {
-    return elsewhere('NO_FRESH_TARGET', true);
+  if (compareLogPositions(execution.at, requiredPosition) < 0) {
+    return retryElsewhere('NO_FRESH_TARGET', true);
   }
-  const fate = yield* awaitConfirmation(context, execution.at);
-  // By what was read, not by what the target held when it was chosen: it may
-  // have started anew, with less, in between.
+  const confirmation = yield* awaitConfirmation(context, execution.at);
+  // Based on the position that was read, not on the target's state at selection:
+  // the target may have restarted with a shorter log in between.
   const freshAt = record.view.freshAt(execution.at) ?? -Infinity;
   const age = context.runtime.timer.now() - freshAt;
-  if (fate !== 'confirmed' || age > maximumAge) {
-    return elsewhere('NO_FRESH_TARGET', true);
+  if (confirmation !== 'confirmed' || age > maximumAge) {
+    return retryElsewhere('NO_FRESH_TARGET', true);
   }
   const role = isPrimary ? 'primary' : 'replica';
   return {kind: 'answered', answer: {execution, target: id, role, age}};
--- a/packages/routing/src/read_candidates.ts
+++ b/packages/routing/src/read_candidates.ts
@@ -1,4 +1,4 @@
-/** Which targets a read may go to, and how fresh they are. */
+/** The targets that a read may be sent to, and their freshness. */
 import type {MemberView} from '@kelpstep/failover';
 import type {LogPosition} from '@kelpstep/protocol';
 import {Milliseconds, Task, waitFor} from '@kelpstep/runtime';
@@ -6,31 +6,32 @@
 import type {ReadTarget} from './read_policy';
 import type {ReadOptions} from './read_types';
 
-/** The targets that one read may go to. */
+/** The targets that one read may be sent to. */
 export interface ReadCandidates {
-  /** Reachable members that take work and were not excluded. */
-  list(wanted: LogPosition): ReadTarget[];
+  /** Reachable members that are neither leaving nor excluded. */
+  list(requiredPosition: LogPosition): ReadTarget[];
   /**
-   * Asks what a read has to see to miss nothing confirmed before; whoever
-   * holds that is as fresh as the question. `undefined`: no majority answers.
+   * Requests the position that a read must reach to include everything confirmed
+   * so far. Targets that hold it are as fresh as the time of the request.
+   * Undefined if no majority answers.
    */
-  askBarrier(): Task<LogPosition | undefined>;
-  /** True if no barrier was asked yet, or `forgetBarrier` came since. */
-  mayAskBarrier(): boolean;
-  /** Allows another barrier, which makes targets fresher. */
-  forgetBarrier(): void;
+  requestBarrier(): Task<LogPosition | undefined>;
+  /** True before the first barrier, and again after `allowBarrier`. */
+  mayRequestBarrier(): boolean;
+  /** Allows another barrier, which raises the known freshness of targets. */
+  allowBarrier(): void;
   exclude(memberId: string): void;
   includeAll(): void;
 }
 
-/** A round trip within a data centre, before it is measured. */
-const NEAR_ROUND_TRIP: Milliseconds = 1;
-const FAR_ROUND_TRIP: Milliseconds = 20;
-/** A majority that doesn't answer for this long is out of reach. */
-const BARRIER_PATIENCE: Milliseconds = 2_000;
+/** Estimated round trips within and between data centres until measured. */
+const LOCAL_ROUND_TRIP_MS: Milliseconds = 1;
+const REMOTE_ROUND_TRIP_MS: Milliseconds = 20;
+/** A majority that does not answer within this time counts as unreachable. */
+const BARRIER_TIMEOUT_MS: Milliseconds = 2_000;
 
 interface Barrier {
-  readonly askedAt: Milliseconds;
+  readonly requestedAt: Milliseconds;
   readonly position: LogPosition | undefined;
 }
 
@@ -41,66 +42,72 @@
   const {timer} = context.runtime;
   const excluded = new Set<string>();
   let barrier: Barrier | undefined;
-  let barrierIsSpent = false;
+  let isBarrierUsed = false;
 
-  function boundOf({member, freshAt}: MemberView): Milliseconds {
+  function freshnessBound({member, freshAt}: MemberView): Milliseconds {
     const known = freshAt ?? -Infinity;
     return barrier?.position !== undefined &&
       view.holds(member.id, barrier.position)
-      ? Math.max(known, barrier.askedAt)
+      ? Math.max(known, barrier.requestedAt)
       : known;
   }
 
-  function candidateOf(
+  function createCandidate(
     memberView: MemberView,
-    wanted: LogPosition,
+    requiredPosition: LogPosition,
     primary: string | undefined,
     now: Milliseconds,
   ): ReadTarget {
     const {member} = memberView;
     const pool = record.pool(member.id);
-    const isNear = member.dataCentre === dataCentre;
+    const isLocal = member.dataCentre === dataCentre;
     const expectedTime = pool?.expectedTime(context.kind) ?? 0;
-    const freshAt = boundOf(memberView);
+    const freshAt = freshnessBound(memberView);
     return {
       id: member.id,
       isPrimary: member.id === primary,
-      holdsPosition: view.holds(member.id, wanted),
+      holdsPosition: view.holds(member.id, requiredPosition),
       expectedAge: now + expectedTime - freshAt,
       expectedTime,
       roundTrip:
-        pool?.roundTrip() ?? (isNear ? NEAR_ROUND_TRIP : FAR_ROUND_TRIP),
+        pool?.roundTrip() ??
+        (isLocal ? LOCAL_ROUND_TRIP_MS : REMOTE_ROUND_TRIP_MS),
     };
   }
 
-  function list(wanted: LogPosition): ReadTarget[] {
+  function list(requiredPosition: LogPosition): ReadTarget[] {
     const primary = view.leadership()?.primary;
     const now = timer.now();
     const candidates: ReadTarget[] = [];
     for (const memberView of record.members()) {
       const {reachable, leaving, member} = memberView;
       if (reachable && !leaving && !excluded.has(member.id)) {
-        candidates.push(candidateOf(memberView, wanted, primary, now));
+        candidates.push(
+          createCandidate(memberView, requiredPosition, primary, now),
+        );
       }
     }
     return candidates;
   }
 
-  function* askBarrier(): Task<LogPosition | undefined> {
-    const askedAt = timer.now();
-    const deadline = Math.min(context.deadline, askedAt + BARRIER_PATIENCE);
+  function* requestBarrier(): Task<LogPosition | undefined> {
+    const requestedAt = timer.now();
+    const deadline = Math.min(
+      context.deadline,
+      requestedAt + BARRIER_TIMEOUT_MS,
+    );
     const position = yield* waitFor(view.readBarrier(deadline));
-    barrier = {askedAt, position};
-    barrierIsSpent = true;
+    barrier = {requestedAt, position};
+    isBarrierUsed = true;
     return position;
   }
 
   return {
     list,
-    askBarrier,
-    mayAskBarrier: () => !barrierIsSpent,
-    forgetBarrier() {
-      barrierIsSpent = false;
+    requestBarrier,
+    mayRequestBarrier: () => !isBarrierUsed,
+    allowBarrier() {
+      isBarrierUsed = false;
     },
     exclude: memberId => excluded.add(memberId),
     includeAll: () => excluded.clear(),
--- a/packages/routing/src/read_policy.ts
+++ b/packages/routing/src/read_policy.ts
@@ -1,91 +1,95 @@
-/** Which target serves a read: the choice, as functions. */
+/** Policies that select the target of a read. */
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 
-/** A target that may serve a read, as policies see it. */
+/** A target that may serve a read, as input to a policy. */
 export interface ReadTarget {
   readonly id: string;
   readonly isPrimary: boolean;
-  /** True if it holds what the read has to see. */
+  /** True if it has reached the position that the read requires. */
   readonly holdsPosition: boolean;
-  /** Upper bound of its data's age when its answer leaves. */
+  /** Upper bound for the age of its data when it answers. */
   readonly expectedAge: Milliseconds;
-  /** Predicted time in queue and slot. */
+  /** Predicted time in the target's queue and slot. */
   readonly expectedTime: Milliseconds;
-  /** Round trip to it; a guess by data centre before it is measured. */
+  /** Round trip to the target; estimated by data centre until measured. */
   readonly roundTrip: Milliseconds;
 }
 
-/** What a choice goes by. */
-export interface ReadOutlook {
-  /** Reachable targets that take work and were not tried in vain. */
+/** Input of a read policy. */
+export interface ReadPolicyInput {
+  /** Reachable targets that are not leaving and have not failed this read. */
   readonly targets: readonly ReadTarget[];
   readonly maximumAge: Milliseconds;
   /** Time until the deadline. */
   readonly remaining: Milliseconds;
-  /** Time spent waiting for a target so far. */
+  /** Time spent waiting for an eligible target so far. */
   readonly waited: Milliseconds;
-  /** True if a read barrier can still make targets fresher. */
-  readonly mayAskBarrier: boolean;
+  /** True if a read barrier can still raise the known freshness of targets. */
+  readonly mayRequestBarrier: boolean;
 }
 
-/** What to do with a read. */
+/** The next action for a read. */
 export type ReadPlan =
   | {readonly action: 'send'; readonly target: string}
   | {readonly action: 'wait'; readonly duration: Milliseconds}
-  /** Ask what a read has to see now; who holds that is fresh. */
+  /** Request a read barrier; targets that hold its position are fresh. */
   | {readonly action: 'ask-barrier'}
   | {readonly action: 'refuse'};
 
-/** Decides about a read. */
-export type ReadPolicy = (outlook: ReadOutlook, random: Random) => ReadPlan;
+/** Selects the next action for a read. */
+export type ReadPolicy = (input: ReadPolicyInput, random: Random) => ReadPlan;
 
 /** Settings of the policy that prefers replicas. */
-export interface ReplicaPreference {
-  /** Longest wait for a replica to come up before the primary is asked. */
-  readonly replicaPatience: Milliseconds;
-  /** How much longer a replica may take than the primary. */
+export interface ReplicaPreferenceSettings {
+  /** Longest wait for a replica to catch up before the primary is used. */
+  readonly maximumReplicaWait: Milliseconds;
+  /** Added to the primary's cost: how much slower a replica may be. */
   readonly primaryPenalty: Milliseconds;
-  /** Chance, as a share of the cost, that spreads proxies over targets. */
-  readonly spread: number;
-  /** A proxy knows the members of a group after this. */
+  /** Random share of the cost, which spreads the proxies over the targets. */
+  readonly jitterRatio: number;
+  /** Time for a proxy to learn a group's members; no read is refused earlier. */
   readonly coldStart: Milliseconds;
 }
 
-/** Settings unless others are passed. */
-export const DEFAULT_REPLICA_PREFERENCE: ReplicaPreference = {
-  replicaPatience: 6,
+/** Default settings. */
+export const DEFAULT_REPLICA_PREFERENCE: ReplicaPreferenceSettings = {
+  maximumReplicaWait: 6,
   primaryPenalty: 50,
-  spread: 0.1,
+  jitterRatio: 0.1,
   coldStart: 200,
 };
 
-const SHORTEST_WAIT: Milliseconds = 1;
-const LONGEST_WAIT: Milliseconds = 20;
+const MINIMUM_WAIT_MS: Milliseconds = 1;
+const MAXIMUM_WAIT_MS: Milliseconds = 20;
 
-function isFit(target: ReadTarget, {maximumAge}: ReadOutlook): boolean {
+function isEligible(
+  target: ReadTarget,
+  {maximumAge}: ReadPolicyInput,
+): boolean {
   return target.holdsPosition && target.expectedAge <= maximumAge;
 }
 
-/** Waits a share of what was waited, so that long waits poll seldom. */
-function waitMore({waited, remaining}: ReadOutlook): ReadPlan {
-  const wait = Math.min(LONGEST_WAIT, Math.max(SHORTEST_WAIT, waited / 2));
+/** Waits for half the time waited so far, so that long waits poll rarely. */
+function planWait({waited, remaining}: ReadPolicyInput): ReadPlan {
+  const wait = Math.min(MAXIMUM_WAIT_MS, Math.max(MINIMUM_WAIT_MS, waited / 2));
   return {action: 'wait', duration: Math.min(wait, remaining)};
 }
 
 /**
- * The cheapest fit replica by distance and load; a short wait for one that
- * lags a little; the primary; a read barrier. Refuses at once if no target
- * can be reached.
+ * Creates a policy that prefers replicas. In order: waits briefly for a fresh
+ * replica to reach the position if no replica is eligible, selects the eligible
+ * target of lowest cost by round trip and load, requests a read barrier. Refuses
+ * the read if no target is reachable after `coldStart`.
  */
-export function createReplicaPreference(
-  settings: ReplicaPreference = DEFAULT_REPLICA_PREFERENCE,
+export function createReplicaPreferencePolicy(
+  settings: ReplicaPreferenceSettings = DEFAULT_REPLICA_PREFERENCE,
 ): ReadPolicy {
   function cost(target: ReadTarget, random: Random): Milliseconds {
     const penalty = target.isPrimary ? settings.primaryPenalty : 0;
-    // The expected time was measured with the way there and back; the round
-    // trip counts before that, while the expected time is a guess.
+    // A measured expected time includes the round trip. Before the first
+    // measurement it is an estimate, so the round trip is the lower bound.
     const time = Math.max(target.roundTrip, target.expectedTime);
-    return random.jitter(time + penalty, settings.spread);
+    return random.jitter(time + penalty, settings.jitterRatio);
   }
 
   function cheapest(
@@ -93,58 +97,67 @@
     random: Random,
   ): ReadTarget | undefined {
     let best: ReadTarget | undefined;
-    let least = Infinity;
+    let lowestCost = Infinity;
     for (const target of targets) {
       const targetCost = cost(target, random);
-      if (targetCost < least) {
+      if (targetCost < lowestCost) {
         best = target;
-        least = targetCost;
+        lowestCost = targetCost;
       }
     }
     return best;
   }
 
-  function isNearlyFit(target: ReadTarget, {maximumAge}: ReadOutlook): boolean {
+  function isFreshReplica(
+    target: ReadTarget,
+    {maximumAge}: ReadPolicyInput,
+  ): boolean {
     return !target.isPrimary && target.expectedAge <= maximumAge;
   }
 
-  return (outlook, random) => {
-    const {targets, waited, mayAskBarrier} = outlook;
-    const fit = targets.filter(target => isFit(target, outlook));
-    const hasReplica = fit.some(target => !target.isPrimary);
-    const lagging = targets.some(target => isNearlyFit(target, outlook));
-    if (!hasReplica && lagging && waited < settings.replicaPatience) {
-      return waitMore(outlook);
+  return (input, random) => {
+    const {targets, waited, mayRequestBarrier} = input;
+    const eligible = targets.filter(target => isEligible(target, input));
+    const hasEligibleReplica = eligible.some(target => !target.isPrimary);
+    const hasFreshReplica = targets.some(target =>
+      isFreshReplica(target, input),
+    );
+    if (
+      !hasEligibleReplica &&
+      hasFreshReplica &&
+      waited < settings.maximumReplicaWait
+    ) {
+      return planWait(input);
     }
-    const best = cheapest(fit, random);
+    const best = cheapest(eligible, random);
     if (best !== undefined) {
       return {action: 'send', target: best.id};
     }
     if (targets.length === 0 && waited >= settings.coldStart) {
       return {action: 'refuse'};
     }
-    return targets.length > 0 && mayAskBarrier
+    return targets.length > 0 && mayRequestBarrier
       ? {action: 'ask-barrier'}
-      : waitMore(outlook);
+      : planWait(input);
   };
 }
 
-/** Every read to the primary; for comparison. */
-export const readFromPrimary: ReadPolicy = outlook => {
-  const primary = outlook.targets.find(
-    target => target.isPrimary && isFit(target, outlook),
+/** Sends every read to the primary; a baseline for benchmarks. */
+export const readFromPrimary: ReadPolicy = input => {
+  const primary = input.targets.find(
+    target => target.isPrimary && isEligible(target, input),
   );
   if (primary !== undefined) {
     return {action: 'send', target: primary.id};
   }
-  return outlook.mayAskBarrier ? {action: 'ask-barrier'} : waitMore(outlook);
+  return input.mayRequestBarrier ? {action: 'ask-barrier'} : planWait(input);
 };
 
-/** Any fit target, by chance; for comparison. */
-export const readFromAny: ReadPolicy = (outlook, random) => {
-  const fit = outlook.targets.filter(target => isFit(target, outlook));
-  if (fit.length > 0) {
-    return {action: 'send', target: random.pick(fit).id};
+/** Sends each read to a random eligible target; a baseline for benchmarks. */
+export const readFromAny: ReadPolicy = (input, random) => {
+  const eligible = input.targets.filter(target => isEligible(target, input));
+  if (eligible.length > 0) {
+    return {action: 'send', target: random.pick(eligible).id};
   }
-  return outlook.mayAskBarrier ? {action: 'ask-barrier'} : waitMore(outlook);
+  return input.mayRequestBarrier ? {action: 'ask-barrier'} : planWait(input);
 };
--- a/packages/routing/src/read_types.ts
+++ b/packages/routing/src/read_types.ts
@@ -1,4 +1,4 @@
-/** Reads outside of transactions: what goes in and what comes out. */
+/** Types of reads outside of transactions. */
 import type {Execution, LogPosition, Statement} from '@kelpstep/protocol';
 import type {RequestContext} from '@kelpstep/request-ledger';
 import type {Milliseconds} from '@kelpstep/runtime';
@@ -9,7 +9,7 @@
 /** A read. */
 export interface ReadRequest {
   readonly statement: Statement;
-  /** What the session has seen; `undefined`: all that is confirmed. */
+  /** Position that the session has seen; undefined requires all confirmed data. */
   readonly seen: LogPosition | undefined;
   readonly maximumAge: Milliseconds;
 }
@@ -19,11 +19,11 @@
   readonly execution: Execution;
   readonly target: string;
   readonly role: 'primary' | 'replica';
-  /** Upper bound of the data's age now. */
+  /** Upper bound for the age of the data at the time of the answer. */
   readonly age: Milliseconds;
 }
 
-/** What a read needs besides its request. */
+/** The context that a read is served in. */
 export interface ReadOptions {
   readonly context: RequestContext;
   readonly record: GroupRecord;
--- a/packages/routing/src/request_service.ts
+++ b/packages/routing/src/request_service.ts
@@ -1,4 +1,4 @@
-/** Serves callers' requests: wires the methods, counts, drains. */
+/** Serves callers' requests: dispatches methods, counts requests, drains. */
 import {createRetryBudget} from '@kelpstep/pool';
 import {
   CALLER_METHODS,
@@ -31,7 +31,7 @@
 import {Err, Ok, Result} from 'ts-results';
 
 import type {ActiveRequest} from './active_request';
-import {Serve, createCallerMethods} from './caller_methods';
+import {RequestHandler, createCallerMethods} from './caller_methods';
 import {createGroupTable} from './group_table';
 import {createKeyCheck} from './key_check';
 import {DEFAULT_REQUEST_LIMITS} from './limits';
@@ -40,8 +40,8 @@
 import {
   RequestFields,
   RequestSource,
-  createRequestIntake,
-} from './request_intake';
+  createRequestValidator,
+} from './request_validation';
 import type {
   ForwardedMethod,
   RequestService,
@@ -84,7 +84,7 @@
     checkKey,
     makeKey: createKeyMaker(runtime, self.incarnation),
   });
-  const checkFields = createRequestIntake({
+  const validateRequest = createRequestValidator({
     timer,
     limits,
     manifest: options.manifest,
@@ -95,17 +95,17 @@
   let isStopping = false;
   let drained: Deferred<undefined> | undefined;
 
-  function activate(
+  function activateRequest(
     fields: RequestFields,
     source: RequestSource,
     method: string,
     notes: RequestNotes,
   ): Result<ActiveRequest, Failure> {
-    const checked = checkFields(fields, source);
-    if (checked.err) {
-      return checked;
+    const validated = validateRequest(fields, source);
+    if (validated.err) {
+      return validated;
     }
-    const {group, worth, deadline} = checked.val;
+    const {group, worth, deadline} = validated.val;
     const record = groups.get(group);
     if (record === undefined) {
       return Err(createFailure('NOT_READY'));
@@ -123,15 +123,15 @@
       notes,
     };
     const token = fields.token ?? '';
-    return Ok({checked: checked.val, context, record, token});
+    return Ok({validated: validated.val, context, record, token});
   }
 
-  /** Runs a request as a task of its own and counts it until its end. */
-  function start<P extends RequestFields, R>(
+  /** Runs a request as a separate task; counts it as in flight until it ends. */
+  function startRequest<P extends RequestFields, R>(
     method: string,
     parameters: P,
     source: RequestSource,
-    serve: Serve<P, R>,
+    serve: RequestHandler<P, R>,
     onEnd: (result: Result<R, Failure>, notes: RequestNotes) => void,
   ): Future<Reply<R>> {
     const notes = createRequestNotes();
@@ -139,7 +139,7 @@
 
     function* task(): Task<Result<R, Failure>> {
       try {
-        const request = activate(parameters, source, method, notes);
+        const request = activateRequest(parameters, source, method, notes);
         const result = request.ok
           ? yield* serve(parameters, request.val)
           : request;
@@ -180,12 +180,12 @@
     });
   }
 
-  /** Adds a caller's method; `isNew` tells work that a stop refuses. */
+  /** Adds a caller's method. A stopping proxy refuses requests that are `isNew`. */
   function addCallerMethod<P extends RequestFields, R>(
     table: HandlerTable,
     method: Method<P, R>,
     isNew: (parameters: P) => boolean,
-    serve: Serve<P, R>,
+    serve: RequestHandler<P, R>,
   ): void {
     table.handle(method, parameters => {
       const startedAt = timer.now();
@@ -195,7 +195,7 @@
         reportEnd(name, parameters, startedAt, refusal, createRequestNotes());
         return settledFuture(refusal);
       }
-      return start(name, parameters, 'caller', serve, (result, notes) =>
+      return startRequest(name, parameters, 'caller', serve, (result, notes) =>
         reportEnd(name, parameters, startedAt, result, notes),
       );
     });
@@ -203,10 +203,10 @@
 
   function createCallerHandlers(): HandlerTable {
     const table = createHandlerTable();
-    const isAlone = ({transaction}: {transaction?: string | undefined}) =>
+    const isStandalone = ({transaction}: {transaction?: string | undefined}) =>
       transaction === undefined;
-    addCallerMethod(table, callerRead, isAlone, methods.read);
-    addCallerMethod(table, callerWrite, isAlone, methods.write);
+    addCallerMethod(table, callerRead, isStandalone, methods.read);
+    addCallerMethod(table, callerWrite, isStandalone, methods.write);
     addCallerMethod(table, callerBegin, () => true, methods.begin);
     addCallerMethod(table, callerCommit, () => false, methods.commit);
     addCallerMethod(table, callerRollback, () => false, methods.rollback);
@@ -222,7 +222,7 @@
     if (!parsed.success) {
       return settledFuture(Err(createFailure('INVALID_PARAMETERS')));
     }
-    return start(
+    return startRequest(
       method,
       parsed.data as TransactionFields,
       'proxy',
--- a/packages/routing/src/request_intake.ts
+++ b/packages/routing/src/request_validation.ts
@@ -1,4 +1,4 @@
-/** The first checks of a request: names, deadline, token. */
+/** Validates the common fields of requests: account, names, deadline, token. */
 import {digestKey} from '@kelpstep/accounts';
 import type {Group, Manifest, RequestKind} from '@kelpstep/manifest';
 import {Failure, LogPosition, createFailure} from '@kelpstep/protocol';
@@ -14,7 +14,7 @@
 
 import type {RequestLimits} from './limits';
 
-/** What all callers' requests carry. */
+/** Fields of all callers' requests. */
 export interface RequestFields {
   readonly group: string;
   readonly kind?: string | undefined;
@@ -23,21 +23,21 @@
   readonly accountKey?: string | undefined;
 }
 
-/** Who sends a request. */
+/** Sender of a request. */
 export type RequestSource =
   | 'caller'
-  /** Another proxy, which has checked the caller's key. */
+  /** Another proxy, which has checked the caller's account key. */
   | 'proxy';
 
-/** A request whose fields make sense. */
-export interface CheckedRequest {
+/** The common fields of a request, resolved and valid. */
+export interface ValidatedRequest {
   readonly manifest: Manifest;
   readonly group: Group;
   readonly worth: number;
   /** Monotonic time. */
   readonly deadline: Milliseconds;
   readonly session: Session;
-  /** What the session has seen of the group; `undefined` without a token. */
+  /** Position of the group that the session has seen; undefined without a token. */
   readonly seen: LogPosition | undefined;
 }
 
@@ -46,7 +46,7 @@
   readonly manifest: Manifest;
   readonly groups: ReadonlyMap<string, Group>;
   readonly kinds: ReadonlyMap<string, RequestKind>;
-  /** Undefined if callers need no key. */
+  /** Undefined if callers need no account key. */
   readonly keyDigests: ReadonlySet<string> | undefined;
 }
 
@@ -65,14 +65,14 @@
   return keyDigests?.has(digestKey(Buffer.from(accountKey))) ?? true;
 }
 
-/** Checks the fields that all requests have. */
-export type RequestIntake = (
+/** Validates the common fields of a request. */
+export type RequestValidator = (
   fields: RequestFields,
   source: RequestSource,
-) => Result<CheckedRequest, Failure>;
+) => Result<ValidatedRequest, Failure>;
 
-/** What the checks need. */
-export interface RequestIntakeOptions {
+/** Options of `createRequestValidator`. */
+export interface RequestValidatorOptions {
   readonly timer: TimerService;
   readonly limits: RequestLimits;
   manifest(): Manifest | undefined;
@@ -80,13 +80,13 @@
   isManifestCurrent(): boolean;
 }
 
-/** Time in which a proxy learns whether there is a newer manifest. */
-const CONFIRMATION_TIME: Milliseconds = 300;
+/** Time for a proxy to learn whether a newer manifest is in force. */
+const MANIFEST_CONFIRMATION_TIME_MS: Milliseconds = 300;
 
-/** Creates the checks; they index each manifest once. */
-export function createRequestIntake(
-  options: RequestIntakeOptions,
-): RequestIntake {
+/** Creates a validator, which indexes each manifest once. */
+export function createRequestValidator(
+  options: RequestValidatorOptions,
+): RequestValidator {
   const {timer, limits} = options;
   let index: ManifestIndex | undefined;
 
@@ -101,8 +101,8 @@
     return index;
   }
 
-  /** The caller's deadline is on the wall clock, all inside is monotonic. */
-  function deadlineOf(
+  /** Converts the caller's wall-clock deadline to monotonic time. */
+  function resolveDeadline(
     requested: number | undefined,
     kind: RequestKind | undefined,
   ): Result<Milliseconds, Failure> {
@@ -115,7 +115,7 @@
       : Ok(timer.now() + Math.min(time, limits.maximumDeadline));
   }
 
-  function sessionOf(
+  function parseSession(
     token: string | undefined,
     group: string,
   ): Result<Session, Failure> {
@@ -127,45 +127,53 @@
     return decoded;
   }
 
-  /** A name is denied for good only if no manifest can be missing that has it. */
-  function denyName(
+  /**
+   * Rejects an unknown name. While a newer manifest that defines the name may be
+   * in force, the failure is temporary.
+   */
+  function rejectName(
     name: 'UNKNOWN_ACCOUNT' | 'UNKNOWN_GROUP' | 'UNKNOWN_KIND',
   ): Failure {
     return options.isManifestCurrent()
       ? createFailure(name)
       : createFailure('NOT_READY', {
           message: 'The manifest may be out of date.',
-          retryAfter: CONFIRMATION_TIME,
+          retryAfter: MANIFEST_CONFIRMATION_TIME_MS,
         });
   }
 
   return (fields, source) => {
-    const known = currentIndex();
-    if (known === undefined) {
+    const manifestIndex = currentIndex();
+    if (manifestIndex === undefined) {
       return Err(createFailure('NOT_READY'));
     }
-    if (source === 'caller' && !hasAccount(known, fields.accountKey ?? '')) {
-      return Err(denyName('UNKNOWN_ACCOUNT'));
+    if (
+      source === 'caller' &&
+      !hasAccount(manifestIndex, fields.accountKey ?? '')
+    ) {
+      return Err(rejectName('UNKNOWN_ACCOUNT'));
     }
-    const group = known.groups.get(fields.group);
+    const group = manifestIndex.groups.get(fields.group);
     if (group === undefined) {
-      return Err(denyName('UNKNOWN_GROUP'));
+      return Err(rejectName('UNKNOWN_GROUP'));
     }
     const kind =
-      fields.kind === undefined ? undefined : known.kinds.get(fields.kind);
+      fields.kind === undefined
+        ? undefined
+        : manifestIndex.kinds.get(fields.kind);
     if (fields.kind !== undefined && kind === undefined) {
-      return Err(denyName('UNKNOWN_KIND'));
+      return Err(rejectName('UNKNOWN_KIND'));
     }
-    const deadline = deadlineOf(fields.deadline, kind);
+    const deadline = resolveDeadline(fields.deadline, kind);
     if (deadline.err) {
       return deadline;
     }
-    const session = sessionOf(fields.token, fields.group);
+    const session = parseSession(fields.token, fields.group);
     if (session.err) {
       return session;
     }
     return Ok({
-      manifest: known.manifest,
+      manifest: manifestIndex.manifest,
       group,
       worth: kind?.worth ?? limits.defaultWorth,
       deadline: deadline.val,
--- a/packages/routing/src/service_types.ts
+++ b/packages/routing/src/service_types.ts
@@ -1,4 +1,4 @@
-/** What the request service is made of, and what it offers. */
+/** Options and interface of the request service. */
 import type {GroupView} from '@kelpstep/failover';
 import type {Manifest} from '@kelpstep/manifest';
 import type {ErrorName, ProxyIdentity} from '@kelpstep/protocol';
@@ -9,12 +9,12 @@
 import type {RequestLimits} from './limits';
 import type {RequestPolicies} from './policies';
 
-/** Methods that a proxy hands to the owner of a transaction. */
+/** Methods that a proxy forwards to the owner of a transaction. */
 export type ForwardedMethod = 'read' | 'write' | 'commit' | 'rollback';
 
 /**
- * Sends `peer.forward` to another proxy. The result is the caller's; a
- * failure of kind `refused` carries the owner's failure as it stands.
+ * Sends `peer.forward` to another proxy. The result is the answer for the caller;
+ * a failure of kind `refused` carries the owner's failure unchanged.
  */
 export type ForwardRequest = (
   owner: ProxyIdentity,
@@ -23,45 +23,45 @@
   timeout: Milliseconds,
 ) => Future<Result<unknown, RequestFailure>>;
 
-/** What became of a request of a caller, for metrics and logs. */
+/** Summary of a finished caller request, for metrics and logs. */
 export interface RequestEnd {
-  /** A caller's method. */
+  /** Name of the caller's method. */
   readonly method: string;
   readonly group: string;
   /** Request kind; undefined if the request named none. */
   readonly kind: string | undefined;
-  /** `ok`, or the error that was answered. */
+  /** `ok`, or the name of the error in the answer. */
   readonly outcome: 'ok' | ErrorName;
-  /** From the request's arrival to its answer. */
+  /** Time from the request's arrival to its answer. */
   readonly duration: Milliseconds;
-  /** Part of the duration that was spent in queues of targets. */
+  /** Part of the duration that was spent in the targets' queues. */
   readonly queueTime: Milliseconds;
   /** Target that answered, if one did. */
   readonly servedBy: string | undefined;
   readonly role: 'primary' | 'replica' | undefined;
-  /** Upper bound of the age of a read's data. */
+  /** Upper bound for the age of a read's data. */
   readonly age: Milliseconds | undefined;
   /** Attempts after the first. */
   readonly retries: number;
 }
 
-/** What the request service is made of. */
+/** Options of `createRequestService`. */
 export interface RequestServiceOptions {
   readonly runtime: Runtime;
   readonly self: ProxyIdentity;
-  /** Opens the connections for statements. */
+  /** Opens the connections to the targets. */
   readonly transport: Transport;
   /** The manifest in force; undefined until there is one. */
   manifest(): Manifest | undefined;
   /** False while a newer manifest may be in force elsewhere. */
   isManifestCurrent(): boolean;
-  /** The view of a group of the manifest; undefined for other names. */
+  /** The view of a group; undefined if the manifest has no such group. */
   groupView(group: string): GroupView | undefined;
-  /** How many proxies share the targets, this one included. */
+  /** Number of proxies that share the targets, including this one. */
   liveProxyCount(): number;
   /**
-   * A proxy that may own a transaction, also while it stops; undefined if it
-   * is gone.
+   * Finds a proxy that may own a transaction, including a stopping one; undefined
+   * if it has stopped.
    */
   findProxy(proxy: string, incarnation: string): ProxyIdentity | undefined;
   readonly forward: ForwardRequest;
@@ -69,46 +69,47 @@
   readonly limits?: Partial<RequestLimits>;
   onRequestEnd?(end: RequestEnd): void;
   /**
-   * Called when serving a request throws; it is then answered with
-   * `INTERNAL_ERROR`. By default the error is thrown on.
+   * Called when serving a request throws; the request is answered with
+   * `INTERNAL_ERROR`. The default rethrows the error.
    */
   onFault?(error: unknown, method: string): void;
 }
 
-/** Load of one target as this proxy sees it, for metrics. */
+/** Load of one target caused by this proxy, for metrics. */
 export interface TargetLoad {
   readonly target: string;
-  /** Statements and transactions that hold a connection. */
+  /** Number of statements and transactions that hold a connection. */
   readonly inFlight: number;
   readonly queued: number;
   readonly connections: number;
-  /** Statements that may run at a time, as adapted. */
+  /** Current adaptive limit of concurrent statements. */
   readonly concurrencyLimit: number;
-  /** Connections that this proxy may open. */
+  /** Number of connections that this proxy may open. */
   readonly connectionShare: number;
-  /** Requests refused for want of time or room, since the start. */
+  /** Requests shed since the start for lack of time or queue capacity. */
   readonly shed: number;
 }
 
 /** Serves callers' requests. */
 export interface RequestService {
-  /** read, write, begin, commit, rollback and outcome. */
+  /** Handlers of read, write, begin, commit, rollback and outcome. */
   readonly callerHandlers: HandlerTable;
-  /** Adds the handler of `peer.forward` to the table for peers. */
+  /** Adds the handler of `peer.forward` to the peers' handler table. */
   addPeerHandlers(table: HandlerTable): void;
-  /** Tells that the manifest in force or the live proxies changed. */
+  /** Applies a change of the manifest in force or of the live proxies. */
   reconfigure(): void;
-  /** Answers new work with `STOPPING`; open transactions go on. */
+  /** Answers new requests with `STOPPING`; open transactions continue. */
   stopAccepting(): void;
   /**
-   * Settles once no request is in flight and no transaction open.
-   * Transactions that are still open after `transactionTime` are rolled back.
+   * Stops accepting new requests. The future settles once no request is in flight
+   * and no transaction is open. Transactions that are still open after
+   * `transactionTime` are rolled back.
    */
   drain(transactionTime: Milliseconds): Future<undefined>;
-  /** Requests without an answer so far. */
+  /** Number of requests that have not been answered yet. */
   inFlight(): number;
   openTransactions(): number;
   targetLoads(): readonly TargetLoad[];
-  /** Closes all connections to targets; for after `drain`. */
+  /** Closes all connections to the targets; to be called after `drain`. */
   close(): void;
 }
--- a/packages/routing/src/transaction_requests.ts
+++ b/packages/routing/src/transaction_requests.ts
@@ -1,4 +1,4 @@
-/** Requests of transactions: which proxy serves them. */
+/** Routes requests of transactions to the proxy that holds the transaction. */
 import {
   Failure,
   IdempotencyKey,
@@ -13,7 +13,7 @@
 import type {ActiveRequest} from './active_request';
 import type {
   LocalTransactions,
-  NamedTransaction,
+  ParsedTransaction,
   TransactionParameters,
   TransactionReply,
   TransactionResult,
@@ -22,13 +22,13 @@
 
 /** Serves requests of transactions. */
 export interface TransactionRequests {
-  /** From a caller: goes to the owner if that is another proxy. */
+  /** Serves a caller's request, forwarding it if another proxy is the owner. */
   serve<M extends ForwardedMethod>(
     method: M,
     parameters: TransactionParameters<M>,
     request: ActiveRequest,
   ): Task<Result<TransactionResult<M>, Failure>>;
-  /** From another proxy: is served here or not at all. */
+  /** Serves a request from another proxy; never forwards it again. */
   serveForwarded(
     method: ForwardedMethod,
     parameters: TransactionFields,
@@ -36,7 +36,7 @@
   ): TransactionReply;
 }
 
-/** What the parameters of all methods of transactions have. */
+/** Common parameters of the transaction methods. */
 export interface TransactionFields {
   readonly group: string;
   readonly transaction?: string | undefined;
@@ -44,10 +44,13 @@
   readonly accountKey?: string | undefined;
 }
 
-/** Part of the time that a commit's owner gets; the rest is for settling. */
+/**
+ * Share of a commit's remaining time for the owner's answer. The rest is kept for
+ * determining the outcome without the owner.
+ */
 const FORWARDED_COMMIT_SHARE = 0.6;
 
-/** Creates the service of transactions' requests. */
+/** Creates the router for requests of transactions. */
 export function createTransactionRequests(
   service: RequestServiceOptions,
   local: LocalTransactions,
@@ -55,7 +58,9 @@
   const {self, runtime} = service;
   const {timer} = runtime;
 
-  function nameOf(parameters: TransactionFields): NamedTransaction | undefined {
+  function parseTransaction(
+    parameters: TransactionFields,
+  ): ParsedTransaction | undefined {
     const id = parameters.transaction ?? '';
     const name = parseTransactionId(id);
     return name === undefined || name.group !== parameters.group
@@ -63,14 +68,14 @@
       : {id, name};
   }
 
-  /** Another proxy that holds the transaction; undefined: this or none. */
-  function findOwner({name}: NamedTransaction): ProxyIdentity | undefined {
+  /** Finds the other proxy that owns the transaction, if there is one. */
+  function findOwner({name}: ParsedTransaction): ProxyIdentity | undefined {
     const {proxy, incarnation} = name;
     const isHere = proxy === self.proxy && incarnation === self.incarnation;
     return isHere ? undefined : service.findProxy(proxy, incarnation);
   }
 
-  /** The caller's key stays here: it was checked. */
+  /** Omits the account key, which this proxy has already checked. */
   function* forward(
     owner: ProxyIdentity,
     method: ForwardedMethod,
@@ -86,11 +91,11 @@
     );
   }
 
-  /** The owner gave no answer: a commit can be settled without it. */
-  function* concludeLost(
+  /** Handles an unresponsive owner; only a commit can be resolved without it. */
+  function* resolveWithoutOwner(
     method: ForwardedMethod,
     parameters: TransactionFields,
-    transaction: NamedTransaction,
+    transaction: ParsedTransaction,
     request: ActiveRequest,
     failure: RequestFailure,
   ): TransactionReply {
@@ -110,7 +115,7 @@
     parameters: TransactionFields,
     request: ActiveRequest,
   ): TransactionReply {
-    const transaction = nameOf(parameters);
+    const transaction = parseTransaction(parameters);
     if (transaction === undefined) {
       return Err(createFailure('TRANSACTION_UNKNOWN'));
     }
@@ -125,7 +130,13 @@
     const failure = reply.val;
     return failure.kind === 'refused'
       ? Err(failure.failure)
-      : yield* concludeLost(method, parameters, transaction, request, failure);
+      : yield* resolveWithoutOwner(
+          method,
+          parameters,
+          transaction,
+          request,
+          failure,
+        );
   }
 
   function* serveForwarded(
@@ -133,14 +144,14 @@
     parameters: TransactionFields,
     request: ActiveRequest,
   ): TransactionReply {
-    const transaction = nameOf(parameters);
+    const transaction = parseTransaction(parameters);
     return transaction === undefined
       ? Err(createFailure('TRANSACTION_UNKNOWN'))
       : yield* local.serve(method, parameters, transaction, request);
   }
 
   return {
-    // The owner's answer is the caller's as it stands.
+    // The owner's answer is returned to the caller unchanged.
     serve: (method, parameters, request) =>
       route(method, parameters, request) as Task<Result<never, Failure>>,
     serveForwarded,
