--- a/packages/routing/__tests__/accounts.spec.ts
+++ b/packages/routing/__tests__/accounts.spec.ts
@@ -14,7 +14,7 @@
 const append = statement('append ? ?', 'log', 'entry');
 const count = statement('count ?', 'log');
 
-/** A deployment whose callers need the key of the one account. */
+/** A deployment with one account, whose key the callers need. */
 function startDeployment() {
   const deployment = createDeployment();
   deployment.start();
@@ -26,13 +26,13 @@
 }
 
 describe('a caller of a deployment with accounts', () => {
-  test('is served by the key of an account', () => {
+  test('is served with the key of an account', () => {
     const {ask} = startDeployment();
     const read = {statement: count, accountKey: KEY};
     expect(ask(0, callerRead, read).rows).toEqual([[0]]);
   });
 
-  test('is refused without a key, and with one that nobody has', () => {
+  test('is refused without a key or with an unknown key', () => {
     const {refuse, entries, primaryIndex} = startDeployment();
     const requests = [
       {statement: append},
@@ -47,7 +47,7 @@
     expect(entries(primaryIndex(), 'log')).toEqual([]);
   });
 
-  test('is refused once the key was taken away, also in a transaction', () => {
+  test('is refused after its key was revoked, also in a transaction', () => {
     const {ask, refuse, setManifest, manifest} = startDeployment();
     const accountKey = KEY;
     const {transaction} = ask(0, callerBegin, {accountKey});
@@ -58,15 +58,15 @@
     );
   });
 
-  test('has its key kept from the proxy that holds its transaction', () => {
-    const {ask, recordForwarded} = startDeployment();
+  test('does not have its key forwarded to the owner of its transaction', () => {
+    const {ask, recordMessages} = startDeployment();
     const accountKey = KEY;
     const {transaction} = ask(0, callerBegin, {accountKey});
-    const sent = recordForwarded();
+    const sent = recordMessages();
     ask(1, callerWrite, {statement: append, transaction, accountKey});
     ask(1, callerCommit, {transaction, accountKey});
     const isForwarded = sent.some(text => text.includes('peer.forward'));
-    const isKept = !sent.some(text => text.includes(KEY));
-    expect([isForwarded, isKept]).toEqual([true, true]);
+    const isKeyWithheld = !sent.some(text => text.includes(KEY));
+    expect([isForwarded, isKeyWithheld]).toEqual([true, true]);
   });
 });
--- a/packages/routing/__tests__/deployment.ts
+++ b/packages/routing/__tests__/deployment.ts
@@ -1,4 +1,4 @@
-/** Proxies before a group of databases, in virtual time. */
+/** Proxies and a group of databases, run in virtual time. */
 import {createGroupDirectory, promoterNumberOf} from '@kelpstep/failover';
 import {Manifest} from '@kelpstep/manifest';
 import {
@@ -43,7 +43,7 @@
 export const GROUP = 'logbook';
 const PEER_PORT = 8000;
 const DATABASE_PORT = 7000;
-const PATIENCE = 60_000;
+const SETTLE_TIMEOUT_MS = 60_000;
 const DATA_CENTRES = ['lima', 'arequipa', 'trujillo'];
 
 export interface DeploymentOptions {
@@ -54,7 +54,7 @@
   readonly service?: Partial<RequestServiceOptions>;
 }
 
-/** What a request came to. */
+/** Outcome of a request and the time of its answer. */
 export type Outcome<R> =
   | {readonly result: R; readonly at: number}
   | {readonly failure: Failure; readonly at: number};
@@ -71,7 +71,7 @@
   return {text, parameters};
 }
 
-/** A key issued an age ago, by the clock at the start. */
+/** A key that was issued `age` milliseconds before the start. */
 export function keyOf(id: string, age = 0) {
   return {id, issuedAt: VIRTUAL_EPOCH - age};
 }
@@ -102,8 +102,8 @@
     stop: {drainTime: 2_000, acceptTime: 0},
     keyRetention: 86_400_000,
   };
-  let inForce = manifest;
-  let isWatched = true;
+  let currentManifest = manifest;
+  let isMonitored = true;
 
   const databases = DATA_CENTRES.map((unusedName, index) => {
     const host = databaseHost(index);
@@ -129,7 +129,7 @@
       address: `${proxyHost(index)}:${PEER_PORT}`,
     }),
   );
-  const gone = new Set<number>();
+  const stoppedProxies = new Set<number>();
   const ends: RequestEnd[] = [];
 
   function createProxy(self: ProxyIdentity, index: number) {
@@ -142,7 +142,7 @@
       transport,
       promoterNumber: promoterNumberOf(self),
       dataCentre: self.dataCentre,
-      watchRank: () => (isWatched ? index : undefined),
+      watchRank: () => (isMonitored ? index : undefined),
       isLeaving: () => false,
     });
     views.updateManifest(manifest.groups);
@@ -167,7 +167,7 @@
       runtime,
       self,
       transport,
-      manifest: () => inForce,
+      manifest: () => currentManifest,
       isManifestCurrent: () => true,
       groupView: group => views.find(group),
       liveProxyCount: () => proxyCount,
@@ -176,7 +176,7 @@
           (identity, other) =>
             identity.proxy === proxy &&
             identity.incarnation === incarnation &&
-            !gone.has(other),
+            !stoppedProxies.has(other),
         ),
       forward: (...request) =>
         runtime.spawn('forward', forwardTask(request[0], request)).result,
@@ -201,14 +201,15 @@
     return (databases[index] as (typeof databases)[number]).control;
   }
 
-  function settle(condition: () => boolean, limit = PATIENCE): void {
+  /** Advances the time until the condition holds. */
+  function settle(condition: () => boolean, limit = SETTLE_TIMEOUT_MS): void {
     if (!timer.runUntil(condition, limit)) {
-      throw new Error('The condition did not come about.');
+      throw new Error('The condition did not hold before the time-out.');
     }
   }
 
-  /** All that proxies send each other from now on. */
-  function recordForwarded(): string[] {
+  /** Records all messages that are sent from now on, as JSON. */
+  function recordMessages(): string[] {
     const sent: string[] = [];
     network.loseMessages(({message}) => {
       sent.push(JSON.stringify(message));
@@ -217,7 +218,7 @@
     return sent;
   }
 
-  /** Sends a caller's request; the list gets its outcome. */
+  /** Sends a caller's request; the returned list receives its outcome. */
   function send<P, R>(
     index: number,
     method: Method<P, R>,
@@ -249,7 +250,7 @@
     return outcomes[0] as Outcome<R>;
   }
 
-  /** The result of a request that must succeed. */
+  /** Sends a request that must succeed; returns its result. */
   function ask<P, R>(
     index: number,
     method: Method<P, R>,
@@ -262,7 +263,7 @@
     return outcome.result;
   }
 
-  /** The name of the failure of a request that must fail. */
+  /** Sends a request that must fail; returns the failure's name and outcome. */
   function refuse<P, R>(
     index: number,
     method: Method<P, R>,
@@ -288,7 +289,7 @@
     return primaryIndex();
   }
 
-  /** Entries of a list as a database holds them. */
+  /** Entries of a list in a database. */
   function entries(index: number, list: string): Scalar[] {
     return control(index)
       .inspect(statement('list ?', list))
@@ -296,7 +297,7 @@
   }
 
   function killProxy(index: number): void {
-    gone.add(index);
+    stoppedProxies.add(index);
     proxy(index).runtime.shutdown();
     network.killHost(proxyHost(index));
   }
@@ -308,15 +309,15 @@
     ends,
     methods: CALLER_METHODS,
     setManifest(next: Manifest) {
-      inForce = next;
+      currentManifest = next;
       proxies.forEach(({service, views}) => {
         views.updateManifest(next.groups);
         service.reconfigure();
       });
     },
-    /** Without watchers a group that loses its primary stays without. */
-    setWatched(watched: boolean) {
-      isWatched = watched;
+    /** A group that is not monitored has no failover. */
+    setMonitored(monitored: boolean) {
+      isMonitored = monitored;
       proxies.forEach(({views}) => views.reviewWatching());
     },
     proxy,
@@ -330,6 +331,6 @@
     start,
     entries,
     killProxy,
-    recordForwarded,
+    recordMessages,
   };
 }
--- a/packages/routing/__tests__/reads.spec.ts
+++ b/packages/routing/__tests__/reads.spec.ts
@@ -25,7 +25,7 @@
 type Written = ResultOf<typeof callerWrite>;
 type Read = ResultOf<typeof callerRead>;
 
-/** A deployment whose group has a primary, and streams that run. */
+/** A deployment whose group has a primary and open update streams. */
 function startDeployment(options: DeploymentOptions = {}) {
   const deployment = createDeployment(options);
   const primary = deployment.start();
@@ -35,15 +35,15 @@
 }
 
 describe('a read', () => {
-  test('of a session sees its own writes, wherever it roams', () => {
+  test('of a session sees its own writes through any proxy', () => {
     const {ask, control, replicas} = startDeployment({proxies: 3});
     control(replicas[0] ?? 0).configure({lag: 60});
     let token = '';
     for (let round = 1; round <= 20; round++) {
       const request = {statement: append, token};
       const written: Written = ask(round % 3, callerWrite, request);
-      const reader = (round + 1) % 3;
-      const read: Read = ask(reader, callerRead, {
+      const readingProxy = (round + 1) % 3;
+      const read: Read = ask(readingProxy, callerRead, {
         statement: count,
         token: written.token,
       });
@@ -52,7 +52,7 @@
     }
   });
 
-  test('without a token sees all that was confirmed before', () => {
+  test('without a token sees everything that was confirmed before', () => {
     const {ask, control, replicas} = startDeployment({proxies: 3});
     control(replicas[1] ?? 0).configure({lag: 60});
     for (let round = 1; round <= 12; round++) {
@@ -62,7 +62,7 @@
     }
   });
 
-  test('of a new session takes what replicas have, within its age', () => {
+  test('of a new session is served by replicas within its maximum age', () => {
     const {ask, timer} = startDeployment({settings: {lag: 30}});
     for (let round = 0; round < 50; round++) {
       ask(0, callerWrite, {statement: append});
@@ -77,7 +77,7 @@
     }
   });
 
-  test('asks the primary if its age is below the lag', () => {
+  test('meets a maximum age below the replication lag', () => {
     const {ask} = startDeployment({settings: {lag: 300}});
     for (let round = 1; round <= 5; round++) {
       ask(0, callerWrite, {statement: append});
@@ -90,7 +90,7 @@
     }
   });
 
-  test('whose answer comes past its age is answered by another', () => {
+  test('is retried if its answer is older than its maximum age', () => {
     const {ask, network, timer} = startDeployment();
     network.delayMessages(
       ({method, isAnswer}) => method === targetExecute.name && isAnswer,
@@ -107,14 +107,14 @@
     expect(read.age <= 200).toEqual(true);
   });
 
-  test('is refused if no answer can be as fresh as asked', () => {
+  test('is refused if no answer can meet its maximum age', () => {
     const {refuse} = startDeployment();
     expect(
       refuse(0, callerRead, {statement: count, token: '', maximumAge: 0}),
     ).toEqual('NO_FRESH_TARGET not_run');
   });
 
-  test('does not go back in time over a failover', () => {
+  test('of a session still sees its writes after a failover', () => {
     const {ask, network, primary} = startDeployment({settings: {lag: 20}});
     const {token} = ask(0, callerWrite, {statement: append});
     network.killHost(databaseHost(primary));
@@ -122,7 +122,7 @@
     expect(read.rows).toEqual([[1]]);
   });
 
-  test('with a position that nobody has waits no longer than it may', () => {
+  test('waits for a position that no target has until its deadline', () => {
     const {call, timer} = startDeployment();
     const forged = withPosition(EMPTY_SESSION, GROUP, {
       term: 999_999_999,
@@ -141,12 +141,12 @@
     expect(Math.abs(outcome.at - startedAt - 300) < 25).toEqual(true);
   });
 
-  test('is tried elsewhere if its target dies or its connection is silent', () => {
-    for (const harm of ['silence', 'kill'] as const) {
+  test('is retried if its target crashes or its connection is unresponsive', () => {
+    for (const fault of ['silence', 'kill'] as const) {
       const {ask, network, replicas, ends} = startDeployment();
       ask(0, callerRead, {statement: count, token: ''});
       for (const index of replicas) {
-        if (harm === 'silence') {
+        if (fault === 'silence') {
           network.silence(proxyHost(0), databaseHost(index));
         } else {
           network.killHost(databaseHost(index));
@@ -158,7 +158,7 @@
     }
   });
 
-  test('gets its own answer only, when answers come late', () => {
+  test('never gets the answer of another request if answers are late', () => {
     const {send, network, timer} = startDeployment();
     network.delayMessages(
       ({method, isAnswer}) => method === targetExecute.name && isAnswer,
@@ -186,12 +186,12 @@
     expect(rows).toEqual(values);
   });
 
-  test('goes to no leaving target, and writes only until the grace ends', () => {
-    const {ask, refuse, control, timer, setWatched, ...rest} =
+  test('avoids a leaving target, as does a write after the grace period', () => {
+    const {ask, refuse, control, timer, setMonitored, ...rest} =
       startDeployment();
     const {manifest, primary, setManifest} = rest;
     ask(0, callerWrite, {statement: append});
-    setWatched(false);
+    setMonitored(false);
     const [group] = manifest.groups;
     const members = (group?.members ?? []).map((member, index) => ({
       ...member,
@@ -213,7 +213,7 @@
     expect(control(primary).statistics().executions).toEqual(executions);
   });
 
-  test('can be sent by another policy', () => {
+  test('follows the read policy in the options', () => {
     const {ask} = startDeployment({
       service: {policies: {read: readFromPrimary}},
     });
@@ -222,8 +222,8 @@
   });
 });
 
-describe('the first checks of a request', () => {
-  test('refuse what makes no sense, not run', () => {
+describe('the validation of requests', () => {
+  test('refuses invalid requests without running them', () => {
     const {refuse} = startDeployment();
     const read = {statement: count};
     expect([
@@ -241,7 +241,7 @@
     ]);
   });
 
-  test('deny a name for now while a manifest may be missing that has it', () => {
+  test('refuses unknown names temporarily while the manifest may be outdated', () => {
     let isCurrent = false;
     const isManifestCurrent = () => isCurrent;
     const {refuse} = startDeployment({service: {isManifestCurrent}});
@@ -259,7 +259,7 @@
     ]);
   });
 
-  test('refuse all before there is a manifest', () => {
+  test('refuses all requests before there is a manifest', () => {
     const {refuse} = startDeployment({service: {manifest: () => undefined}});
     expect(refuse(0, callerRead, {statement: count})).toEqual(
       'NOT_READY not_run',
@@ -268,7 +268,7 @@
 });
 
 describe('under overload', () => {
-  test('requests get an answer in time or a refusal at once, not run', () => {
+  test('requests are answered in time or refused without being run', () => {
     const {send, timer, primary, entries} = startDeployment({
       settings: {serviceTime: 10, slots: 1},
     });
--- a/packages/routing/__tests__/request_fault.spec.ts
+++ b/packages/routing/__tests__/request_fault.spec.ts
@@ -12,7 +12,7 @@
 import {createRequestService} from '..';
 
 describe('a request whose handling throws', () => {
-  test('is answered with a failure of unknown outcome and leaves no trace', () => {
+  test('is answered with an internal error and is no longer in flight', () => {
     const faults: string[] = [];
     const service = createRequestService({
       runtime: createRuntime({
--- a/packages/routing/__tests__/transactions.spec.ts
+++ b/packages/routing/__tests__/transactions.spec.ts
@@ -34,7 +34,7 @@
 }
 
 describe('a transaction', () => {
-  test('goes on through another proxy and is seen after its commit', () => {
+  test('continues through another proxy and is visible after its commit', () => {
     const {ask, transaction} = startTransaction();
     ask(1, callerWrite, {statement: append, transaction});
     const inside = ask(1, callerRead, {statement: count, transaction});
@@ -45,7 +45,7 @@
     expect(after.rows).toEqual([[2]]);
   });
 
-  test('leaves nothing behind once rolled back', () => {
+  test('has no effect after its rollback', () => {
     const {ask, refuse, proxy, transaction} = startTransaction();
     ask(1, callerRollback, {transaction});
     expect(proxy(0).service.openTransactions()).toEqual(0);
@@ -55,7 +55,7 @@
     );
   });
 
-  test('never mixes with another', () => {
+  test('is isolated from other transactions', () => {
     const {ask, transaction} = startTransaction();
     const other = ask(0, callerBegin, {}).transaction;
     const otherCount = ask(0, callerRead, {
@@ -83,7 +83,7 @@
     expect('result' in (first[0] ?? {})).toEqual(true);
   });
 
-  test('is rolled back when idle for too long, or too old', () => {
+  test('is rolled back when it is idle or open for too long', () => {
     for (const limits of [
       {transactionIdleTime: 200},
       {transactionTotalTime: 200},
@@ -99,14 +99,14 @@
     }
   });
 
-  test('takes no key but with its commit', () => {
+  test('accepts a key only with its commit', () => {
     const {refuse, transaction} = startTransaction();
     expect(
       refuse(0, callerWrite, {statement: append, transaction, key}),
     ).toEqual('INVALID_PARAMETERS not_run');
   });
 
-  test('is lost for certain with its primary', () => {
+  test('is definitely lost if its primary crashes', () => {
     const {ask, refuse, settle, network, primary, transaction, ...rest} =
       startTransaction();
     network.killHost(databaseHost(primary));
@@ -120,12 +120,12 @@
     expect(ask(0, callerRead, {statement: count}).rows).toEqual([[0]]);
   });
 
-  test('at a primary that was replaced shows nothing older than its session', () => {
+  test('at a replaced primary returns nothing older than its session', () => {
     const {ask, refuse, timer, network, primary, transaction} =
       startTransaction({proxies: 3});
     const replicas = [0, 1, 2].filter(index => index !== primary);
-    const far = [1, 2].map(proxyHost).concat(replicas.map(databaseHost));
-    network.cutGroups([proxyHost(0), databaseHost(primary)], far);
+    const otherSide = [1, 2].map(proxyHost).concat(replicas.map(databaseHost));
+    network.cutGroups([proxyHost(0), databaseHost(primary)], otherSide);
     timer.advance(3000);
     const {token} = ask(1, callerWrite, {statement: append});
     expect(
@@ -133,7 +133,7 @@
     ).toEqual('TRANSACTION_LOST not_run');
   });
 
-  test('is lost for certain with its proxy', () => {
+  test('is definitely lost if its proxy crashes', () => {
     const {ask, refuse, killProxy, timer, transaction} = startTransaction();
     killProxy(0);
     timer.advance(10);
@@ -148,7 +148,7 @@
 });
 
 describe('a commit', () => {
-  test('sent again gives the recorded answer', () => {
+  test('that is repeated returns the recorded answer', () => {
     const {ask, primary, entries, transaction} = startTransaction();
     const first = ask(0, callerCommit, {transaction});
     const second = ask(1, callerCommit, {transaction});
@@ -156,7 +156,7 @@
     expect(entries(primary, 'log')).toEqual(['entry']);
   });
 
-  test('with a key can be settled by that key', () => {
+  test('with a key has its outcome recorded under that key', () => {
     const {ask, transaction} = startTransaction();
     ask(0, callerCommit, {transaction, key});
     expect(ask(1, callerOutcome, {key}).outcome).toEqual('confirmed');
@@ -169,7 +169,7 @@
     expect(entries(primary, 'log')).toEqual(['entry']);
   });
 
-  test('that does not arrive in time never runs', () => {
+  test('that does not arrive in time is never applied', () => {
     const {refuse, timer, network, primary, entries, transaction} =
       startTransaction();
     network.delayMessages(
@@ -183,7 +183,7 @@
     expect(entries(primary, 'log')).toEqual([]);
   });
 
-  test('of a proxy that dies is resolved by another, whenever that is', () => {
+  test('of a proxy that crashes at any time is resolved by another proxy', () => {
     const seen = new Set<string>();
     for (let moment = 0; moment < 16; moment++) {
       const {send, call, timer, killProxy, primary, entries, ...rest} =
@@ -196,15 +196,16 @@
       timer.advance(moment / 4);
       killProxy(0);
       const outcome = call(1, callerCommit, {transaction});
-      const told = 'result' in outcome ? 'confirmed' : outcome.failure.outcome;
-      const isThere = entries(primary, 'log').length === 1;
-      expect(told).toEqual(isThere ? 'confirmed' : 'not_run');
-      seen.add(told);
+      const reported =
+        'result' in outcome ? 'confirmed' : outcome.failure.outcome;
+      const isApplied = entries(primary, 'log').length === 1;
+      expect(reported).toEqual(isApplied ? 'confirmed' : 'not_run');
+      seen.add(reported);
     }
     expect(seen.size).toEqual(2);
   });
 
-  test('is true to the data whenever its primary dies', () => {
+  test('reports what was applied whenever its primary crashes', () => {
     for (let moment = 0; moment < 16; moment++) {
       const {send, settle, timer, network, primary, transaction, ...rest} =
         startTransaction();
@@ -216,16 +217,16 @@
           outcomes.length > 0 && ![primary, -1].includes(rest.primaryIndex()),
       );
       const [outcome] = outcomes;
-      const told =
+      const reported =
         outcome && 'failure' in outcome ? outcome.failure.outcome : 'confirmed';
-      const isThere = rest.entries(rest.primaryIndex(), 'log').length === 1;
-      expect(told).toEqual(isThere ? 'confirmed' : 'not_run');
+      const isApplied = rest.entries(rest.primaryIndex(), 'log').length === 1;
+      expect(reported).toEqual(isApplied ? 'confirmed' : 'not_run');
     }
   });
 });
 
-describe('a stop', () => {
-  test('refuses new work only, and waits for transactions', () => {
+describe('draining', () => {
+  test('refuses only new requests and waits for transactions', () => {
     const {ask, refuse, proxy, timer, transaction} = startTransaction();
     const drained: number[] = [];
     const {service} = proxy(0);
@@ -239,7 +240,7 @@
     expect(drained).toEqual([timer.now()]);
   });
 
-  test('cuts off no statement, and rolls back at the end of its time', () => {
+  test('interrupts no statement and rolls back open transactions in the end', () => {
     const {send, proxy, timer, control, primary, transaction} =
       startTransaction();
     const {service} = proxy(0);
@@ -257,7 +258,7 @@
     expect(control(primary).statistics().transactions).toEqual(0);
   });
 
-  test('ends at once if nothing is in flight', () => {
+  test('completes at once if nothing is in flight', () => {
     const deployment = createDeployment();
     deployment.start();
     const drained = deployment.proxy(0).service.drain(1000);
--- a/packages/routing/__tests__/writes.spec.ts
+++ b/packages/routing/__tests__/writes.spec.ts
@@ -34,7 +34,7 @@
 }
 
 describe('a write', () => {
-  test('with one key runs once, through whichever proxies it comes', () => {
+  test('that is repeated with its key runs once, through any proxy', () => {
     const {ask, primary, entries} = startDeployment();
     const first = ask(0, callerWrite, {statement: append, key});
     const second = ask(1, callerWrite, {statement: append, key});
@@ -43,7 +43,7 @@
     expect(entries(primary, 'log')).toEqual(['entry']);
   });
 
-  test('runs once though its answer is lost', () => {
+  test('runs once if its answer is lost', () => {
     const {ask, network, primary, entries} = startDeployment();
     network.loseAnswers(({method}) => method === targetExecute.name, 2);
     const written = ask(0, callerWrite, {statement: append});
@@ -51,7 +51,7 @@
     expect(entries(primary, 'log')).toEqual(['entry']);
   });
 
-  test('runs once though its connections go silent', () => {
+  test('runs once if its connections become unresponsive', () => {
     const {ask, network, primary, entries} = startDeployment();
     ask(0, callerWrite, {statement: append, key});
     network.silence(proxyHost(0), databaseHost(primary));
@@ -59,7 +59,7 @@
     expect(entries(primary, 'log')).toEqual(['entry', 'entry']);
   });
 
-  test('that meets a killed primary is confirmed by the next, once', () => {
+  test('in flight when its primary crashes is confirmed once by the next', () => {
     const {send, settle, timer, network, primary, primaryIndex, entries} =
       startDeployment();
     const outcomes = send(0, callerWrite, {statement: append, key});
@@ -70,7 +70,7 @@
     expect(entries(primaryIndex(), 'log')).toEqual(['entry']);
   });
 
-  test('is confirmed once whenever its primary dies', () => {
+  test('is confirmed once whenever its primary crashes', () => {
     for (let moment = 0; moment < 12; moment++) {
       const {send, ask, settle, timer, network, primary, ...rest} =
         startDeployment();
@@ -85,11 +85,11 @@
   });
 
   test('is refused at once if the failover outlasts its deadline', () => {
-    const {ask, send, settle, timer, network, primary, setWatched} =
+    const {ask, send, settle, timer, network, primary, setMonitored} =
       startDeployment();
     ask(0, callerWrite, {statement: append});
     timer.advance(500);
-    setWatched(false);
+    setMonitored(false);
     network.killHost(databaseHost(primary));
     const waiting = send(0, callerWrite, {statement: append});
     timer.advance(100);
@@ -103,12 +103,12 @@
     expect(failure?.outcome).toEqual('not_run');
     expect((failure?.retryAfter ?? 0) > 0).toEqual(true);
     expect((outcome?.at ?? Infinity) < startedAt + 50).toEqual(true);
-    setWatched(true);
+    setMonitored(true);
     settle(() => waiting.length > 0);
     expect('result' in (waiting[0] ?? {})).toEqual(true);
   });
 
-  test('is refused at once while both replicas are lost; reads go on', () => {
+  test('is refused at once while both replicas are lost, unlike reads', () => {
     const {ask, send, settle, timer, network, replicas} = startDeployment();
     const {token} = ask(0, callerWrite, {statement: append});
     timer.advance(500);
@@ -127,7 +127,7 @@
     expect(read.rows).toEqual([['entry']]);
   });
 
-  test('whose outcome is unknown at its deadline can be settled later', () => {
+  test('whose outcome is unknown at its deadline can be resolved later', () => {
     const {call, ask, timer, network, primary, entries} = startDeployment();
     const stop = network.loseAnswers(
       ({method}) => method === targetExecute.name,
@@ -141,10 +141,10 @@
     expect(entries(primary, 'log')).toEqual(['entry']);
   });
 
-  test('that fails says so, and was not run', () => {
+  test('whose statement fails is reported as not run', () => {
     const {refuse} = startDeployment();
-    const faulty = statement('no such statement');
-    expect(refuse(0, callerWrite, {statement: faulty})).toEqual(
+    const invalid = statement('no such statement');
+    expect(refuse(0, callerWrite, {statement: invalid})).toEqual(
       'STATEMENT_FAILED not_run',
     );
   });
@@ -158,7 +158,7 @@
     );
   });
 
-  test('is refused with a key too old or from the future', () => {
+  test('is refused with a key that is too old or from the future', () => {
     const {refuse} = startDeployment();
     const day = 86_400_000;
     const old = keyOf('old', day);
@@ -173,7 +173,7 @@
 });
 
 describe('the outcome of a key', () => {
-  test('that never came is "not run", and stays so', () => {
+  test('that was never used is "not run" and stays so', () => {
     const {ask, refuse, primary, entries} = startDeployment();
     expect(ask(0, callerOutcome, {key}).outcome).toEqual('not_run');
     expect(refuse(1, callerWrite, {statement: append, key})).toEqual(
@@ -183,7 +183,7 @@
     expect(entries(primary, 'log')).toEqual([]);
   });
 
-  test('holds against a request that arrives late', () => {
+  test('is not changed by a request that arrives late', () => {
     const {call, ask, timer, network, primary, entries} = startDeployment();
     ask(0, callerRead, {statement: list});
     network.delayMessages(
@@ -198,7 +198,7 @@
     expect(entries(primary, 'log')).toEqual([]);
   });
 
-  test('survives lost answers', () => {
+  test('is found despite lost answers', () => {
     const {ask, network} = startDeployment();
     ask(0, callerWrite, {statement: append, key});
     network.loseAnswers(({method}) => method === targetSettleKey.name, 2);
@@ -206,18 +206,18 @@
   });
 });
 
-describe('a primary cut off from its group, with a proxy on its side', () => {
-  function cutOff() {
+describe('a primary that is partitioned from its group with one proxy', () => {
+  function partitionPrimary() {
     const deployment = startDeployment(3);
     const {network, primary, replicas, timer} = deployment;
     timer.advance(500);
-    const far = [1, 2].map(proxyHost).concat(replicas.map(databaseHost));
-    network.cutGroups([proxyHost(0), databaseHost(primary)], far);
+    const otherSide = [1, 2].map(proxyHost).concat(replicas.map(databaseHost));
+    network.cutGroups([proxyHost(0), databaseHost(primary)], otherSide);
     return deployment;
   }
 
-  test('confirms nothing, and what it wrote runs once elsewhere', () => {
-    const {call, ask, timer, network, ...rest} = cutOff();
+  test('confirms nothing, and its write runs once at the new primary', () => {
+    const {call, ask, timer, network, ...rest} = partitionPrimary();
     const deadline = deadlineIn(300, timer.now());
     const outcome = call(0, callerWrite, {statement: append, key, deadline});
     expect('failure' in outcome && outcome.failure.outcome).toEqual('unknown');
@@ -231,8 +231,8 @@
     expect(rest.entries(rest.primary, 'log')).toEqual(['entry']);
   });
 
-  test('does not make "cancelled" definite from its unconfirmed log', () => {
-    const {call, ask, timer, network} = cutOff();
+  test('does not report a key as cancelled from its unconfirmed log', () => {
+    const {call, ask, timer, network} = partitionPrimary();
     const settled = call(0, callerOutcome, {
       key,
       deadline: deadlineIn(200, timer.now()),
@@ -252,8 +252,8 @@
     expect(ask(0, callerOutcome, {key}).outcome).toEqual('confirmed');
   });
 
-  test('serves no read of records that may vanish', () => {
-    const {call, timer, network, primary, ask} = cutOff();
+  test('serves no read of records that may be lost', () => {
+    const {call, timer, network, primary, ask} = partitionPrimary();
     call(0, callerWrite, {
       statement: append,
       deadline: deadlineIn(200, timer.now()),
