--- a/packages/routing/__tests__/reads.spec.ts
+++ b/packages/routing/__tests__/reads.spec.ts
@@ -141,7 +141,7 @@
     expect(Math.abs(outcome.at - startedAt - 300) < 25).toEqual(true);
   });
 
-  test('is retried if its target crashes or its connection is unresponsive', () => {
+  test('is retried if its target crashes or its connection stalls', () => {
     for (const fault of ['silence', 'kill'] as const) {
       const {ask, network, replicas, ends} = startDeployment();
       ask(0, callerRead, {statement: count, token: ''});
@@ -241,7 +241,7 @@
     ]);
   });
 
-  test('refuses unknown names temporarily while the manifest may be outdated', () => {
+  test('refuses unknown names temporarily if the manifest may be outdated', () => {
     let isCurrent = false;
     const isManifestCurrent = () => isCurrent;
     const {refuse} = startDeployment({service: {isManifestCurrent}});
--- a/packages/routing/__tests__/transactions.spec.ts
+++ b/packages/routing/__tests__/transactions.spec.ts
@@ -34,7 +34,7 @@
 }
 
 describe('a transaction', () => {
-  test('continues through another proxy and is visible after its commit', () => {
+  test('continues through another proxy and is visible after commit', () => {
     const {ask, transaction} = startTransaction();
     ask(1, callerWrite, {statement: append, transaction});
     const inside = ask(1, callerRead, {statement: count, transaction});
@@ -240,7 +240,7 @@
     expect(drained).toEqual([timer.now()]);
   });
 
-  test('interrupts no statement and rolls back open transactions in the end', () => {
+  test('interrupts no statement and finally rolls back transactions', () => {
     const {send, proxy, timer, control, primary, transaction} =
       startTransaction();
     const {service} = proxy(0);
--- a/packages/routing/src/active_request.ts
+++ b/packages/routing/src/active_request.ts
@@ -28,7 +28,7 @@
   return next.size === 1 ? record.tokenOf(next, at) : encodeToken(next);
 }
 
-/** Log position of the group that the session has seen; the start if none. */
+/** Log position that the session has seen; `EMPTY_LOG_END` without a token. */
 export function seenPosition({validated}: ActiveRequest): LogPosition {
   return validated.seen ?? EMPTY_LOG_END;
 }
--- a/packages/routing/src/group_record.ts
+++ b/packages/routing/src/group_record.ts
@@ -183,7 +183,7 @@
     return best?.member.id;
   }
 
-  /** Keeps as many connections open to the likely next primary as to the primary. */
+  /** Keeps as many connections to the likely next primary as to the primary. */
   function warmConnections(): void {
     const isIdle = timer.now() - usedAt > GROUP_IDLE_TIMEOUT_MS;
     const primary = view.leadership()?.primary;
--- a/packages/routing/src/read_attempt.ts
+++ b/packages/routing/src/read_attempt.ts
@@ -103,8 +103,8 @@
     return retryElsewhere('NO_FRESH_TARGET', true);
   }
   const confirmation = yield* awaitConfirmation(context, execution.at);
-  // Based on the position that was read, not on the target's state at selection:
-  // the target may have restarted with a shorter log in between.
+  // Based on the position that was read, not on the target's state at
+  // selection: the target may have restarted with a shorter log in between.
   const freshAt = record.view.freshAt(execution.at) ?? -Infinity;
   const age = context.runtime.timer.now() - freshAt;
   if (confirmation !== 'confirmed' || age > maximumAge) {
--- a/packages/routing/src/read_candidates.ts
+++ b/packages/routing/src/read_candidates.ts
@@ -11,9 +11,9 @@
   /** Reachable members that are neither leaving nor excluded. */
   list(requiredPosition: LogPosition): ReadTarget[];
   /**
-   * Requests the position that a read must reach to include everything confirmed
-   * so far. Targets that hold it are as fresh as the time of the request.
-   * Undefined if no majority answers.
+   * Requests the position that a read must reach to include everything
+   * confirmed so far. Targets that hold it are as fresh as the time of the
+   * request. Undefined if no majority answers.
    */
   requestBarrier(): Task<LogPosition | undefined>;
   /** True before the first barrier, and again after `allowBarrier`. */
--- a/packages/routing/src/read_policy.ts
+++ b/packages/routing/src/read_policy.ts
@@ -47,7 +47,9 @@
   readonly primaryPenalty: Milliseconds;
   /** Random share of the cost, which spreads the proxies over the targets. */
   readonly jitterRatio: number;
-  /** Time for a proxy to learn a group's members; no read is refused earlier. */
+  /**
+   * Time for a proxy to learn a group's members; no read is refused earlier.
+   */
   readonly coldStart: Milliseconds;
 }
 
@@ -78,8 +80,8 @@
 /**
  * Creates a policy that prefers replicas. In order: waits briefly for a fresh
  * replica to reach the position if no replica is eligible, selects the eligible
- * target of lowest cost by round trip and load, requests a read barrier. Refuses
- * the read if no target is reachable after `coldStart`.
+ * target of lowest cost by round trip and load, requests a read barrier.
+ * Refuses the read if no target is reachable after `coldStart`.
  */
 export function createReplicaPreferencePolicy(
   settings: ReplicaPreferenceSettings = DEFAULT_REPLICA_PREFERENCE,
--- a/packages/routing/src/read_types.ts
+++ b/packages/routing/src/read_types.ts
@@ -9,7 +9,9 @@
 /** A read. */
 export interface ReadRequest {
   readonly statement: Statement;
-  /** Position that the session has seen; undefined requires all confirmed data. */
+  /**
+   * Position that the session has seen; undefined requires all confirmed data.
+   */
   readonly seen: LogPosition | undefined;
   readonly maximumAge: Milliseconds;
 }
--- a/packages/routing/src/request_service.ts
+++ b/packages/routing/src/request_service.ts
@@ -126,7 +126,9 @@
     return Ok({validated: validated.val, context, record, token});
   }
 
-  /** Runs a request as a separate task; counts it as in flight until it ends. */
+  /**
+   * Runs a request as a separate task; counts it as in flight until it ends.
+   */
   function startRequest<P extends RequestFields, R>(
     method: string,
     parameters: P,
@@ -180,7 +182,9 @@
     });
   }
 
-  /** Adds a caller's method. A stopping proxy refuses requests that are `isNew`. */
+  /**
+   * Adds a caller's method. A stopping proxy refuses requests that are `isNew`.
+   */
   function addCallerMethod<P extends RequestFields, R>(
     table: HandlerTable,
     method: Method<P, R>,
--- a/packages/routing/src/request_validation.ts
+++ b/packages/routing/src/request_validation.ts
@@ -37,7 +37,9 @@
   /** Monotonic time. */
   readonly deadline: Milliseconds;
   readonly session: Session;
-  /** Position of the group that the session has seen; undefined without a token. */
+  /**
+   * Position of the group that the session has seen; undefined without a token.
+   */
   readonly seen: LogPosition | undefined;
 }
 
@@ -128,8 +130,8 @@
   }
 
   /**
-   * Rejects an unknown name. While a newer manifest that defines the name may be
-   * in force, the failure is temporary.
+   * Rejects an unknown name. While a newer manifest that defines the name may
+   * be in force, the failure is temporary.
    */
   function rejectName(
     name: 'UNKNOWN_ACCOUNT' | 'UNKNOWN_GROUP' | 'UNKNOWN_KIND',
--- a/packages/routing/src/service_types.ts
+++ b/packages/routing/src/service_types.ts
@@ -13,8 +13,8 @@
 export type ForwardedMethod = 'read' | 'write' | 'commit' | 'rollback';
 
 /**
- * Sends `peer.forward` to another proxy. The result is the answer for the caller;
- * a failure of kind `refused` carries the owner's failure unchanged.
+ * Sends `peer.forward` to another proxy. The result is the answer for the
+ * caller; a failure of kind `refused` carries the owner's failure unchanged.
  */
 export type ForwardRequest = (
   owner: ProxyIdentity,
@@ -60,8 +60,8 @@
   /** Number of proxies that share the targets, including this one. */
   liveProxyCount(): number;
   /**
-   * Finds a proxy that may own a transaction, including a stopping one; undefined
-   * if it has stopped.
+   * Finds a proxy that may own a transaction, including a stopping one;
+   * undefined if it has stopped.
    */
   findProxy(proxy: string, incarnation: string): ProxyIdentity | undefined;
   readonly forward: ForwardRequest;
@@ -101,8 +101,8 @@
   /** Answers new requests with `STOPPING`; open transactions continue. */
   stopAccepting(): void;
   /**
-   * Stops accepting new requests. The future settles once no request is in flight
-   * and no transaction is open. Transactions that are still open after
+   * Stops accepting new requests. The future settles once no request is in
+   * flight and no transaction is open. Transactions that are still open after
    * `transactionTime` are rolled back.
    */
   drain(transactionTime: Milliseconds): Future<undefined>;
--- a/packages/routing/src/transaction_requests.ts
+++ b/packages/routing/src/transaction_requests.ts
@@ -45,8 +45,8 @@
 }
 
 /**
- * Share of a commit's remaining time for the owner's answer. The rest is kept for
- * determining the outcome without the owner.
+ * Share of a commit's remaining time for the owner's answer. The rest is kept
+ * for determining the outcome without the owner.
  */
 const FORWARDED_COMMIT_SHARE = 0.6;
 
@@ -91,7 +91,9 @@
     );
   }
 
-  /** Handles an unresponsive owner; only a commit can be resolved without it. */
+  /**
+   * Handles an unresponsive owner; only a commit can be resolved without it.
+   */
   function* resolveWithoutOwner(
     method: ForwardedMethod,
     parameters: TransactionFields,
--- a/packages/succession/__tests__/choose_successor.spec.ts
+++ b/packages/succession/__tests__/choose_successor.spec.ts
@@ -47,7 +47,7 @@
 describe('the successor of a demoted primary', () => {
   const demotedLogEnd = {term: 1, position: 7};
 
-  test('has reached its log end, even if another replica is unresponsive', () => {
+  test('has reached its log end, even if another does not answer', () => {
     const choice = {
       stopped: [stopped('a', 6), stopped('b', 7)],
       unanswered: 1,
--- a/packages/succession/__tests__/succession_model.ts
+++ b/packages/succession/__tests__/succession_model.ts
@@ -1,9 +1,9 @@
 /**
- * Model of a change of primary for an exhaustive state search: three targets, two
- * promoters (proxies that change the primary), and messages that are lost or
- * delayed. The target is selected by the production `chooseSuccessor`. A promoter
- * that is never scheduled again models a crashed or suspended process; one that is
- * scheduled late models a process that resumes after a suspension.
+ * Model of a change of primary for an exhaustive state search: three targets,
+ * two promoters (proxies that change the primary), and messages that are lost
+ * or delayed. The target is selected by the production `chooseSuccessor`. A
+ * promoter that is never scheduled again models a crashed or suspended process;
+ * one that is scheduled late models a process that resumes after a suspension.
  */
 import {chooseSuccessor} from '../src/choose_successor';
 
@@ -139,7 +139,9 @@
   }
 }
 
-/** A replica is paused and its answer arrives; lost answers are not modelled. */
+/**
+ * A replica is paused and its answer arrives; lost answers are not modelled.
+ */
 function* stopSteps(
   state: ModelState,
   guards: Guards,
@@ -151,11 +153,11 @@
   }
   for (const replica of TARGETS) {
     const target = at(state.targets, replica);
-    const isAsked =
+    const isUnanswered =
       replica !== promoter.from &&
       target.isRunning &&
       at(promoter.answers, replica) < 0;
-    if (!isAsked) {
+    if (!isUnanswered) {
       continue;
     }
     const term = at(state.targets, promoter.from).term + 1;
@@ -218,8 +220,8 @@
 
 /**
  * A promotion order is sent; it may be executed at any later time, or never. An
- * unanswered order is followed by another for the same target, with a higher epoch
- * that is written to the row first.
+ * unanswered order is followed by another for the same target, with a higher
+ * epoch that is written to the row first.
  */
 function* orderSteps(
   state: ModelState,
--- a/packages/succession/src/choose_successor.ts
+++ b/packages/succession/src/choose_successor.ts
@@ -4,7 +4,7 @@
 /** A target that may be promoted, as of its last answer. */
 export interface SuccessorCandidate {
   readonly target: string;
-  /** End of its log, which no longer grows past a commit to be preserved. */
+  /** End of its log at the time of the answer. */
   readonly received: LogPosition;
   readonly isLeaving: boolean;
   readonly dataCentre: string;
@@ -13,11 +13,13 @@
 /** Input of `chooseSuccessor`. */
 export interface SuccessorInput {
   /**
-   * The targets that have answered: paused replicas, or replicas of a demoted
-   * primary.
+   * The targets that have answered: paused replicas, which receive no further
+   * records, or replicas of a demoted primary.
    */
   readonly stopped: readonly SuccessorCandidate[];
-  /** Number of targets that may hold an acknowledged commit but didn't answer. */
+  /**
+   * Number of targets that may hold an acknowledged commit but didn't answer.
+   */
   readonly unanswered: number;
   /** Log end of the demoted primary if it answered; includes every commit. */
   readonly demotedLogEnd: LogPosition | undefined;
@@ -37,19 +39,19 @@
 /**
  * Returns the target to promote, or undefined if no target is known to hold
  * every acknowledged commit. If the demoted primary's log end is known, every
- * target that has reached it qualifies. Otherwise each acknowledged commit is on
- * at least one replica, so all replicas must have answered and the longest log
- * holds them all. Among the targets that qualify, one that is not leaving is
- * preferred.
+ * target that has reached it qualifies. Otherwise each acknowledged commit is
+ * on at least one replica, so all replicas must have answered and the longest
+ * log holds them all. Among the targets that qualify, one that is not leaving
+ * is preferred.
  */
 export function chooseSuccessor(
   input: SuccessorInput,
 ): SuccessorCandidate | undefined {
-  const {stopped, unanswered, demotedLogEnd: demotedAt} = input;
+  const {stopped, unanswered, demotedLogEnd} = input;
   const ranked = [...stopped].sort(compareCandidates);
-  if (demotedAt !== undefined) {
+  if (demotedLogEnd !== undefined) {
     const complete = ranked.filter(
-      ({received}) => compareLogPositions(received, demotedAt) >= 0,
+      ({received}) => compareLogPositions(received, demotedLogEnd) >= 0,
     );
     return complete.find(({isLeaving}) => !isLeaving) ?? complete[0];
   }
--- a/packages/succession/src/succession_monitor.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -1,7 +1,7 @@
 /**
  * Monitors a group's primary and has another target promoted when the primary
- * leaves or is lost. Each step is written to the group's row before it is taken,
- * so that another proxy can resume the change.
+ * leaves or is lost. Each step is written to the group's row before it is
+ * taken, so that another proxy can resume the change.
  */
 import type {TableStore} from '@kelpstep/platform';
 import {
@@ -82,8 +82,8 @@
 /** Interval between checks of the primary. */
 const MONITOR_INTERVAL_MS: Milliseconds = 50;
 /**
- * An unresponsive primary counts as lost after this time, measured from the first
- * status probe that also failed on a new connection.
+ * An unresponsive primary counts as lost after this time, measured from the
+ * first status probe that also failed on a new connection.
  */
 const PRIMARY_LOST_TIMEOUT_MS: Milliseconds = 150;
 /** A group without a known primary is given a new one after this time. */
@@ -166,8 +166,8 @@
   }
 
   /**
-   * True while another proxy may still be performing a change, or the last change
-   * is too recent.
+   * True while another proxy may still be performing a change, or the last
+   * change is too recent.
    */
   function mustDefer(): boolean {
     const age = timer.now() - options.rowSeenAt();
@@ -255,8 +255,8 @@
   }
 
   /**
-   * Target of a recorded promotion order, or '' without one. Such an order may
-   * still take effect, so no other target is selected.
+   * Reachable target of a recorded promotion order; '' if there is none. Such
+   * an order may still take effect, so no other target is selected.
    */
   function findPendingTarget(row: Succession | undefined): string {
     const isOrdered = row?.phase === 'ordered';
--- a/packages/succession/src/succession_row_writer.ts
+++ b/packages/succession/src/succession_row_writer.ts
@@ -31,8 +31,8 @@
  */
 const READ_BACK_DELAY_MS: Milliseconds = 250;
 /**
- * Attempts per write. If a single failed write ended the change, the group would
- * have to wait until another proxy takes it over.
+ * Attempts per write. If a single failed write ended the change, the group
+ * would have to wait until another proxy takes it over.
  */
 const MAXIMUM_ATTEMPTS = 3;
 const RETRY_BACKOFF_MS: Milliseconds = 60;
--- a/packages/succession/src/succession_steps.ts
+++ b/packages/succession/src/succession_steps.ts
@@ -36,7 +36,9 @@
   onStep(step: string, target: string, epoch: number): void;
 }
 
-/** The steps of a change; each is recorded in the row before it takes effect. */
+/**
+ * The steps of a change; each is recorded in the row before it takes effect.
+ */
 export interface SuccessionSteps {
   /**
    * True if every reachable replica lacks records of the primary's log. Probed
@@ -83,7 +85,9 @@
 const OPEN_TRANSACTION_GRACE_MS: Milliseconds = 120;
 /** Time for a replica to reach the demoted primary's log end. */
 const CATCH_UP_TIMEOUT_MS: Milliseconds = 2000;
-/** The change is abandoned if not all replicas can be paused within this time. */
+/**
+ * The change is abandoned if not all replicas can be paused within this time.
+ */
 const PAUSE_TIMEOUT_MS: Milliseconds = 1500;
 const POLL_INTERVAL_MS: Milliseconds = 20;
 /** Time for a target to report the primary role after a confirmed promotion. */
@@ -91,16 +95,22 @@
 /** Promotion orders per selected target, each with its own epoch. */
 const MAXIMUM_ORDERS = 6;
 /**
- * A promotion order is usually answered within milliseconds. Without an answer it
- * may have been executed or lost, or may be executed seconds later; the target's
- * status is then probed before the order is repeated.
+ * A promotion order is usually answered within milliseconds. Without an answer
+ * it may have been executed or lost, or may be executed seconds later; the
+ * target's status is then probed before the order is repeated.
  */
 const PROMOTION_REPLY_TIMEOUT_MS: Milliseconds = 300;
-/** Covers a promotion of up to a second and the status probe that detects it. */
+/**
+ * Covers a promotion of up to a second and the status probe that detects it.
+ */
 const UNANSWERED_LEADERSHIP_TIMEOUT_MS: Milliseconds = 1250;
-/** A primary is isolated if this many probes in a row find all replicas behind. */
+/**
+ * A primary is isolated if this many probes in a row find all replicas behind.
+ */
 const ISOLATION_PROBE_COUNT = 2;
-/** Delay before each probe; records normally arrive within a few round trips. */
+/**
+ * Delay before each probe; records normally arrive within a few round trips.
+ */
 const ISOLATION_PROBE_INTERVAL_MS: Milliseconds = 100;
 
 interface ProbedTarget {
@@ -186,12 +196,12 @@
   }
 
   function* highestTerm(): Task<number> {
-    let newest = group.positions.leader()?.term ?? 0;
+    let highest = group.positions.leader()?.term ?? 0;
     for (const {status} of yield* probeStatuses(reachedLinks())) {
       const {term, termHeld, received} = status;
-      newest = Math.max(newest, term, termHeld, received.term);
+      highest = Math.max(highest, term, termHeld, received.term);
     }
-    return newest;
+    return highest;
   }
 
   function* sendOrder(
@@ -246,11 +256,11 @@
     term: number,
   ): Task<SuccessorCandidate | undefined> {
     const deadline = timer.now() + PAUSE_TIMEOUT_MS;
-    const stopped = new Map<string, SuccessorCandidate>();
+    const paused = new Map<string, SuccessorCandidate>();
     while (timer.now() < deadline) {
       const others = group.links().filter(link => link !== leader);
       const requests = others
-        .filter(({target}) => !stopped.has(target))
+        .filter(({target}) => !paused.has(target))
         .map(link => ({
           link,
           reply: link.order({kind: 'pause', term}, ORDER_TIMEOUT_MS),
@@ -259,12 +269,12 @@
         const answer = yield* waitFor(reply);
         const status = answer.ok ? options.readStatus(answer.val) : undefined;
         if (status !== undefined) {
-          stopped.set(link.target, toCandidate(link, status.received));
+          paused.set(link.target, toCandidate(link, status.received));
         }
       }
-      const unanswered = others.filter(({target}) => !stopped.has(target));
+      const unanswered = others.filter(({target}) => !paused.has(target));
       const successor = chooseSuccessor({
-        stopped: [...stopped.values()],
+        stopped: [...paused.values()],
         unanswered: unanswered.length,
         demotedLogEnd: undefined,
       });
@@ -333,8 +343,8 @@
   }
 
   /**
-   * Sends nothing after `until`. A proxy that was suspended in the meantime could
-   * otherwise resume targets that another proxy has paused.
+   * Sends nothing after `until`. A proxy that was suspended in the meantime
+   * could otherwise resume targets that another proxy has paused.
    */
   function* resumeReplication(until: Milliseconds): Task<void> {
     const replies = reachedLinks().map(link =>
