--- /dev/null
+++ b/packages/succession/src/succession_monitor.ts
@@ -0,0 +1,303 @@
+/**
+ * Monitors a group's primary and has another target promoted when the primary
+ * leaves or is lost. Each step is written to the group's row before it is
+ * taken, so that another proxy can resume the change.
+ */
+import type {TableStore} from '@kelpstep/platform';
+import {
+  type Milliseconds,
+  type Runtime,
+  type Task,
+  type TaskHandle,
+  sleep,
+} from '@kelpstep/runtime';
+import type {ReadTargetStatus} from '@kelpstep/statements';
+import type {TargetGroup, TargetLink} from '@kelpstep/targets';
+
+import type {SuccessorCandidate} from './choose_successor';
+import {
+  type OrderPromotion,
+  SUCCESSION_PREFIX,
+  type Succession,
+} from './succession_row';
+import {
+  type SuccessionOutcome,
+  createSuccessionSteps,
+} from './succession_steps';
+import {
+  type SuccessionRowWriter,
+  createSuccessionRowWriter,
+} from './succession_row_writer';
+
+/** Why a primary is replaced. */
+export type SuccessionReason =
+  | 'leaving'
+  | 'lost'
+  /** Reachable, but no replica receives records from it. */
+  | 'isolated'
+  | 'missing'
+  | 'unfinished';
+
+/** A succession row and its version in the store. */
+export interface VersionedSuccession {
+  readonly succession: Succession;
+  readonly version: number;
+}
+
+/** Callbacks for the progress of a succession, used for logging. */
+export interface SuccessionEvents {
+  onStart(reason: SuccessionReason, epoch: number): void;
+  onStep(step: string, target: string, epoch: number): void;
+  onEnd(
+    outcome: SuccessionOutcome,
+    epoch: number,
+    duration: Milliseconds,
+  ): void;
+}
+
+/** Options of `startSuccessionMonitor`. */
+export interface SuccessionMonitorOptions {
+  readonly runtime: Runtime;
+  readonly self: string;
+  readonly group: TargetGroup;
+  readonly store: TableStore;
+  /** Name of the table that the proxies share. */
+  readonly table: string;
+  readonly readStatus: ReadTargetStatus;
+  readonly orderPromotion: OrderPromotion;
+  readonly events: SuccessionEvents;
+  /** True if another proxy reports that it reaches the group's primary. */
+  isLeaderReachedElsewhere(): Task<boolean>;
+  /** The group's row as last read. */
+  row(): VersionedSuccession | undefined;
+  /** When this version of the row was first read; -Infinity without a row. */
+  rowSeenAt(): Milliseconds;
+}
+
+/** Monitors one group until it is stopped. */
+export interface SuccessionWatch {
+  stop(): void;
+}
+
+/** Interval between checks of the primary. */
+const MONITOR_INTERVAL_MS: Milliseconds = 50;
+/**
+ * An unresponsive primary counts as lost after this time, measured from the
+ * first status probe that also failed on a new connection.
+ */
+const PRIMARY_LOST_TIMEOUT_MS: Milliseconds = 150;
+/** A group without a known primary is given a new one after this time. */
+const PRIMARY_MISSING_TIMEOUT_MS: Milliseconds = 1000;
+/**
+ * A change by another proxy may be taken over once its row has not been written
+ * for this long.
+ */
+const OTHER_PROXY_STEP_TIMEOUT_MS: Milliseconds = 2500;
+/**
+ * Minimum time between two changes. The proxy that ended a change resumes
+ * replication, which must not undo the pause of the next change. Covers
+ * `RESUME_WINDOW_MS`, opening a connection and network latency.
+ */
+const CHANGE_COOLDOWN_MS: Milliseconds = 1500;
+/**
+ * If no write has been answered for this long, the primary may have no replica
+ * that receives from it. Above the queueing delay of a target under load.
+ */
+const WRITE_STALL_TIMEOUT_MS: Milliseconds = 400;
+/** Backoff before a primary with stalled writes is checked again. */
+const ISOLATION_RECHECK_BACKOFF_MS: Milliseconds = 1000;
+/** Backoff before a proxy that is partitioned from the primary checks again. */
+const PARTITION_RECHECK_BACKOFF_MS: Milliseconds = 300;
+/** Each proxy starts after a random delay up to this, to avoid conflicts. */
+const MAXIMUM_START_DELAY_MS: Milliseconds = 120;
+/** Backoff after a change that failed. */
+const FAILED_CHANGE_BACKOFF_MS: Milliseconds = 700;
+
+/** Starts to monitor a group. */
+export function watchSuccession(
+  options: SuccessionMonitorOptions,
+): SuccessionWatch {
+  const {runtime, group, store, self, events} = options;
+  const {timer, random} = runtime;
+  const key = SUCCESSION_PREFIX + group.group;
+  const steps = createSuccessionSteps({...options, onStep: events.onStep});
+  let missingSince: Milliseconds | undefined;
+
+  function updateMissingSince(): void {
+    const isMissing = group.leader() === undefined && group.links().length > 0;
+    missingSince = isMissing ? (missingSince ?? timer.now()) : undefined;
+  }
+
+  function findReason(): SuccessionReason | undefined {
+    const leader = group.leader();
+    if (leader === undefined) {
+      const isOverdue =
+        missingSince !== undefined &&
+        timer.now() - missingSince >= PRIMARY_MISSING_TIMEOUT_MS;
+      return isOverdue ? 'missing' : undefined;
+    }
+    const silentSince = leader.silentSince();
+    if (
+      silentSince !== undefined &&
+      timer.now() - silentSince >= PRIMARY_LOST_TIMEOUT_MS
+    ) {
+      return 'lost';
+    }
+    const hasReplacement = group
+      .links()
+      .some(link => !link.registration().isLeaving && link.isReached());
+    if (leader.registration().isLeaving && hasReplacement) {
+      return 'leaving';
+    }
+    if (isChangeInProgress()) {
+      return 'unfinished';
+    }
+    return hasStalledWrites(leader) ? 'isolated' : undefined;
+  }
+
+  function hasStalledWrites(leader: TargetLink): boolean {
+    const since = leader.writesStalledSince();
+    return since !== undefined && timer.now() - since >= WRITE_STALL_TIMEOUT_MS;
+  }
+
+  function isChangeInProgress(): boolean {
+    const phase = options.row()?.succession.phase;
+    return phase === 'stopping' || phase === 'ordered';
+  }
+
+  /**
+   * True while another proxy may still be performing a change, or the last
+   * change is too recent.
+   */
+  function mustDefer(): boolean {
+    const age = timer.now() - options.rowSeenAt();
+    return (
+      age <
+      (isChangeInProgress() ? OTHER_PROXY_STEP_TIMEOUT_MS : CHANGE_COOLDOWN_MS)
+    );
+  }
+
+  function* monitor(): Task<void> {
+    for (;;) {
+      yield* sleep(MONITOR_INTERVAL_MS);
+      updateMissingSince();
+      if (findReason() === undefined || mustDefer()) {
+        continue;
+      }
+      yield* sleep(MAXIMUM_START_DELAY_MS * random.fraction());
+      if (yield* isPartitionedFromLeader()) {
+        yield* sleep(random.jitter(PARTITION_RECHECK_BACKOFF_MS, 0.5));
+        continue;
+      }
+      const reason = findReason();
+      if (reason === 'isolated' && !(yield* steps.isIsolated(group.leader()))) {
+        yield* sleep(random.jitter(ISOLATION_RECHECK_BACKOFF_MS, 0.5));
+        continue;
+      }
+      if (reason !== undefined && !mustDefer()) {
+        yield* changePrimary(reason);
+      }
+    }
+  }
+
+  /** True if only this proxy fails to reach the primary. */
+  function* isPartitionedFromLeader(): Task<boolean> {
+    const reason = findReason();
+    const isUnreachable = reason === 'lost' || reason === 'missing';
+    return isUnreachable && (yield* options.isLeaderReachedElsewhere());
+  }
+
+  function* changePrimary(reason: SuccessionReason): Task<void> {
+    const startedAt = timer.now();
+    const previous = options.row();
+    const epoch = (previous?.succession.epoch ?? 0) + 1;
+    const leader = group.leader() ?? recordedLeader(previous?.succession);
+    const pendingTarget = findPendingTarget(previous?.succession);
+    const rowWriter = createSuccessionRowWriter(
+      store,
+      options.table,
+      key,
+      previous?.version ?? 0,
+      {
+        epoch,
+        holder: self,
+        // A pending order stays recorded in case this proxy fails as well.
+        phase: pendingTarget === '' ? 'stopping' : 'ordered',
+        from: leader?.target ?? '',
+        target: pendingTarget,
+      },
+    );
+    if (!(yield* rowWriter.write({}))) {
+      return;
+    }
+    events.onStart(reason, epoch);
+    const outcome = yield* runSteps(rowWriter, reason, leader, pendingTarget);
+    events.onEnd(
+      outcome,
+      rowWriter.succession().epoch,
+      timer.now() - startedAt,
+    );
+    if (outcome !== 'done') {
+      yield* sleep(random.jitter(FAILED_CHANGE_BACKOFF_MS, 0.5));
+    }
+  }
+
+  /**
+   * The primary according to the row, for a proxy that does not know one; every
+   * change of primary is recorded there. Commits that a lost primary has
+   * acknowledged are on a replica, so the primary's own answer is not needed.
+   */
+  function recordedLeader(row: Succession | undefined): TargetLink | undefined {
+    if (row === undefined || row.phase === 'ordered') {
+      return undefined;
+    }
+    return group.link(row.phase === 'done' ? row.target : row.from);
+  }
+
+  /**
+   * Reachable target of a recorded promotion order; '' if there is none. Such
+   * an order may still take effect, so no other target is selected.
+   */
+  function findPendingTarget(row: Succession | undefined): string {
+    const isOrdered = row?.phase === 'ordered';
+    const link = isOrdered ? group.link(row.target) : undefined;
+    return link?.isReached() ? link.target : '';
+  }
+
+  function* runSteps(
+    rowWriter: SuccessionRowWriter,
+    reason: SuccessionReason,
+    leader: TargetLink | undefined,
+    pendingTarget: string,
+  ): Task<SuccessionOutcome> {
+    if (pendingTarget !== '') {
+      return yield* steps.completePromotion(rowWriter, pendingTarget);
+    }
+    const successor = yield* selectSuccessor(reason, leader);
+    if (successor === undefined) {
+      yield* steps.finish(rowWriter, 'abandoned');
+      return 'abandoned';
+    }
+    return yield* steps.promoteSuccessor(rowWriter, successor.target);
+  }
+
+  function* selectSuccessor(
+    reason: SuccessionReason,
+    leader: TargetLink | undefined,
+  ): Task<SuccessorCandidate | undefined> {
+    if (reason === 'unfinished') {
+      return undefined;
+    }
+    const term = (yield* steps.highestTerm()) + 1;
+    if (reason === 'missing' && group.leader()?.isReached()) {
+      // The probe for the highest term has found a primary.
+      return undefined;
+    }
+    return reason === 'leaving' && leader !== undefined
+      ? yield* steps.chooseAfterDemotion(leader, term)
+      : yield* steps.chooseAfterPause(leader, term);
+  }
+
+  const task: TaskHandle<void> = runtime.spawn('succession', monitor());
+  return {stop: task.cancel};
+}
