--- a/packages/failover/__tests__/bootstrap.spec.ts
+++ b/packages/failover/__tests__/bootstrap.spec.ts
@@ -4,7 +4,7 @@
 import {MEMBERS, createCluster} from './cluster';
 
 describe('a group of empty members', () => {
-  test('gets a primary that all follow, and confirms writes', () => {
+  test('gets one primary and confirms writes', () => {
     for (const seed of [1, 2, 3]) {
       const cluster = createCluster({seed});
       const primary = cluster.awaitPrimary();
@@ -19,7 +19,7 @@
     }
   });
 
-  test('stays without primary while one of them is missing', () => {
+  test('has no primary while one of them is missing', () => {
     const cluster = createCluster({proxies: 1});
     cluster.network.killHost('10.0.0.3');
     cluster.timer.advance(5000);
--- a/packages/failover/__tests__/confirmation_waiters.spec.ts
+++ b/packages/failover/__tests__/confirmation_waiters.spec.ts
@@ -29,7 +29,7 @@
 }
 
 describe('waiters for confirmation', () => {
-  test('are settled in the order of their records, as far as confirmed', () => {
+  test('are settled in the order of their records once confirmed', () => {
     const {waiters, fates, wait, advance} = setUp();
     [7, 5, 9, 6].forEach(position => wait(position));
     advance(7);
@@ -37,7 +37,7 @@
     expect(waiters.size()).toEqual(1);
   });
 
-  test('learn that a newer term lacks their record', () => {
+  test('are superseded if the log of a newer term lacks their record', () => {
     const {fates, wait, advance} = setUp();
     wait(3, 2);
     wait(4, 2);
@@ -50,7 +50,7 @@
     ]);
   });
 
-  test('learn at their deadline that nothing is known', () => {
+  test('are undecided at their deadline', () => {
     const {timer, waiters, fates, wait, advance} = setUp();
     wait(6, 5, 50);
     wait(5);
@@ -60,7 +60,7 @@
     expect(waiters.size()).toEqual(0);
   });
 
-  test('get their answer at once if it is known', () => {
+  test('are settled immediately if the record is already confirmed', () => {
     const {fates, wait, advance} = setUp();
     advance(9);
     wait(9);
--- a/packages/failover/__tests__/faults.spec.ts
+++ b/packages/failover/__tests__/faults.spec.ts
@@ -26,7 +26,7 @@
 }
 
 describe('a group under faults', () => {
-  test('survives two lost primaries in a row', () => {
+  test('survives the loss of two primaries in succession', () => {
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed);
       const term = cluster.termOf(1);
@@ -45,7 +45,7 @@
     }
   });
 
-  test('confirms and promotes nothing without both replicas', () => {
+  test('confirms and promotes nothing when both replicas are lost', () => {
     for (const seed of SEEDS) {
       const {cluster, primary, others} = startWriting(seed);
       const term = cluster.termOf(1);
@@ -66,7 +66,7 @@
     }
   });
 
-  test('promotes nobody when the primary is lost with a replica', () => {
+  test('promotes no member when the primary and a replica are lost', () => {
     for (const seed of SEEDS) {
       const {cluster, primary, others} = startWriting(seed);
       cluster.network.removeHost(MEMBER_HOSTS[primary]);
@@ -77,7 +77,7 @@
     }
   });
 
-  test('keeps its primary when connections go silent', () => {
+  test('keeps its primary when its connections become unresponsive', () => {
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed);
       const term = cluster.termOf(1);
@@ -96,7 +96,7 @@
     }
   });
 
-  test('keeps its primary when that refuses connections at its limit', () => {
+  test('keeps its primary when it refuses connections at its limit', () => {
     const {cluster, primary} = startWriting(1);
     const term = cluster.termOf(1);
     cluster.control(primary).configure({connectionLimit: 1});
@@ -116,7 +116,7 @@
     );
   });
 
-  test('keeps its primary when only one watcher cannot reach it', () => {
+  test('keeps its primary when only one proxy is partitioned from it', () => {
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed);
       const term = cluster.termOf(1);
@@ -128,7 +128,7 @@
     }
   });
 
-  test('has nobody fenced by a watcher on the smaller side of a cut', () => {
+  test('has no member fenced by a proxy in a minority partition', () => {
     for (const seed of SEEDS) {
       const {cluster, primary, others} = startWriting(seed);
       const term = cluster.termOf(1);
@@ -145,11 +145,11 @@
     }
   });
 
-  test('drops what a deposed primary wrote and nobody confirmed', () => {
+  test('discards unconfirmed records of a deposed primary', () => {
     for (const seed of SEEDS) {
       const {cluster, primary, others} = startWriting(seed);
       const term = cluster.termOf(1);
-      // The second proxy stays on the old primary's side and writes there.
+      // The second proxy is in the old primary's partition and writes to it.
       cluster.network.cutGroups(
         [MEMBER_HOSTS[primary], proxyHost(1)],
         [...others.map(id => MEMBER_HOSTS[id]), proxyHost(0), proxyHost(2)],
@@ -178,12 +178,12 @@
     }
   });
 
-  test('promotes no replica that restarted and has not caught up', () => {
+  test('promotes no restarted replica that has not caught up', () => {
     for (const seed of SEEDS) {
       const {cluster, primary, others} = startWriting(seed);
       const [quick, slow] = others;
       cluster.control(slow).configure({lag: 60_000});
-      // More than one answer of the primary can carry; only quick confirms.
+      // These records exceed one replication answer; only `quick` gets them.
       cluster.writeMany(primary, cluster.termOf(1), 1500);
       cluster.timer.advance(1000);
       const end = cluster.proxy(1).view.confirmed();
@@ -207,7 +207,7 @@
     }
   });
 
-  test('moves the leadership off a leaving primary almost without gap', () => {
+  test('switches over from a leaving primary within 100 ms', () => {
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed);
       const term = cluster.termOf(1);
--- a/packages/failover/__tests__/lost_primary.spec.ts
+++ b/packages/failover/__tests__/lost_primary.spec.ts
@@ -10,8 +10,8 @@
 } from './cluster';
 
 const SEEDS = [1, 2, 3];
-/** Longest time without confirmed writes that the users accept. */
-const WORST_GAP = 3000;
+/** Longest time without confirmed writes that users accept. */
+const LONGEST_GAP_MS = 3000;
 
 type Cluster = ReturnType<typeof createCluster>;
 
@@ -23,7 +23,7 @@
   return ids.map(id => MEMBER_HOSTS[id]);
 }
 
-/** A cluster whose proxies all write. */
+/** Starts a cluster in which every proxy writes. */
 function startWriting(seed: number): {cluster: Cluster; primary: MemberId} {
   const cluster = createCluster({seed});
   const primary = cluster.awaitPrimary();
@@ -32,7 +32,7 @@
   return {cluster, primary};
 }
 
-/** Loses the primary in some way; writes must go on elsewhere. */
+/** Checks that writes continue on another primary after a primary outage. */
 function checkFailover(
   lose: (cluster: Cluster, primary: MemberId) => void,
   recover: (cluster: Cluster, primary: MemberId) => void,
@@ -45,7 +45,7 @@
     const next = cluster.awaitPrimary(2, term);
     expect(next).not.toEqual(primary);
     cluster.timer.advance(3000);
-    expect(cluster.gapSince(lostAt) < WORST_GAP).toEqual(true);
+    expect(cluster.gapSince(lostAt) < LONGEST_GAP_MS).toEqual(true);
     cluster.checkRecords(next);
 
     recover(cluster, primary);
@@ -58,22 +58,22 @@
   }
 }
 
-describe('a lost primary is replaced and what was confirmed stays', () => {
-  test('when it is killed and starts empty', () => {
+describe('a lost primary is replaced and confirmed records remain', () => {
+  test('when it is killed and restarts empty', () => {
     checkFailover(
       ({network}, primary) => network.killHost(MEMBER_HOSTS[primary]),
       ({startMember}, primary) => startMember(primary),
     );
   });
 
-  test('when it is frozen, and thaws believing that it leads', () => {
+  test('when it is frozen and thaws in the role of primary', () => {
     checkFailover(
       ({network}, primary) => network.freezeHost(MEMBER_HOSTS[primary]),
       ({network}, primary) => network.thawHost(MEMBER_HOSTS[primary]),
     );
   });
 
-  test('when it is cut off from everything', () => {
+  test('when it is partitioned from all members and proxies', () => {
     checkFailover(
       ({network}, primary) =>
         network.cutGroups(
@@ -84,7 +84,7 @@
     );
   });
 
-  test('when it is cut off from its group but not from the proxies', () => {
+  test('when it is partitioned from its group but not from the proxies', () => {
     checkFailover(
       ({network}, primary) =>
         network.cutGroups([MEMBER_HOSTS[primary]], hostsOf(othersOf(primary))),
@@ -92,7 +92,7 @@
     );
   });
 
-  test('when the first watcher is cut off together with it', () => {
+  test('when it is partitioned together with the first proxy', () => {
     checkFailover(
       ({network}, primary) =>
         network.cutGroups(
--- a/packages/failover/__tests__/promoters.spec.ts
+++ b/packages/failover/__tests__/promoters.spec.ts
@@ -5,8 +5,8 @@
 import {MEMBERS, MEMBER_HOSTS, createCluster, proxyHost} from './cluster';
 
 const SEEDS = [1, 2, 3, 4];
-/** Milliseconds by which a frozen promoter's requests are late. */
-const LATE = 2500;
+/** Delay of a frozen promoter's requests. */
+const LATE_MS = 2500;
 
 type Cluster = ReturnType<typeof createCluster>;
 
@@ -19,8 +19,8 @@
   return {cluster, primary};
 }
 
-/** Members that were primary in a term, by term. */
-function watchPrimaries(cluster: Cluster): Map<number, Set<string>> {
+/** Records every member that is ever in the role of primary, by term. */
+function recordPrimaries(cluster: Cluster): Map<number, Set<string>> {
   const seen = new Map<number, Set<string>>();
   cluster.timer.every(1, () => {
     for (const id of MEMBERS) {
@@ -39,10 +39,10 @@
 }
 
 describe('promoters', () => {
-  test('that act at the same time do no harm and end with one primary', () => {
+  test('that act concurrently end with one primary and lose no record', () => {
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed, {rankDelay: 0});
-      const seen = watchPrimaries(cluster);
+      const seen = recordPrimaries(cluster);
       cluster.network.killHost(MEMBER_HOSTS[primary]);
       cluster.timer.advance(4000);
       expectOnePrimaryPerTerm(seen);
@@ -55,16 +55,16 @@
   });
 
   for (const [step, method, count] of [
-    // The killed primary gets no request, as it has no connection any more.
+    // The killed primary gets no request because its connection is closed.
     ['while fencing', targetFence, 2],
     ['between fence and promotion', targetPromote, 1],
   ] as const) {
-    test(`frozen ${step} and thawed late do no harm`, () => {
+    test(`frozen ${step} and thawed late lose no record`, () => {
       for (const seed of SEEDS) {
         const {cluster, primary} = startWriting(seed);
-        const seen = watchPrimaries(cluster);
-        // The first watcher stops just when it has sent the step's requests,
-        // which arrive when its successor is done.
+        const seen = recordPrimaries(cluster);
+        // The first proxy freezes right after sending the step's requests,
+        // which arrive after the next proxy has finished its promotion.
         let isFrozen = false;
         cluster.network.delayMessages(
           message => {
@@ -78,7 +78,7 @@
             }
             return matches;
           },
-          LATE,
+          LATE_MS,
           count,
         );
         cluster.network.killHost(MEMBER_HOSTS[primary]);
@@ -96,14 +96,14 @@
     });
   }
 
-  test('cannot promote a member that fell behind another promotion', () => {
+  test('cannot promote a member that missed another promotion', () => {
     for (const seed of SEEDS) {
       const cluster = createCluster({seed});
       const primary = cluster.awaitPrimary();
       cluster.startWriter(2);
       cluster.network.killHost(proxyHost(1));
       cluster.timer.advance(500);
-      // The first watcher freezes over its order, the third takes over.
+      // The first proxy freezes while promoting, and the third takes over.
       const late: string[] = [];
       cluster.network.delayMessages(
         ({from, to, method, isAnswer}) => {
@@ -115,21 +115,21 @@
           }
           return matches;
         },
-        2 * LATE,
+        2 * LATE_MS,
         1,
       );
       cluster.network.freezeHost(MEMBER_HOSTS[primary]);
       const next = cluster.awaitPrimary(2, cluster.termOf(2));
       cluster.network.thawHost(MEMBER_HOSTS[primary]);
       cluster.timer.advance(500);
-      // Whoever gets the late order now misses confirmed records.
+      // The member that gets the late request lacks confirmed records.
       const candidate = MEMBERS.find(id => MEMBER_HOSTS[id] === late[0]);
       expect(candidate).not.toEqual(next);
       cluster.network.cutGroups(
         late,
         MEMBERS.map(id => MEMBER_HOSTS[id]).filter(host => host !== late[0]),
       );
-      cluster.timer.advance(2 * LATE);
+      cluster.timer.advance(2 * LATE_MS);
       cluster.network.healAll();
       cluster.network.thawHost(proxyHost(0));
       cluster.timer.advance(2000);
@@ -138,7 +138,7 @@
     }
   });
 
-  test('killed between promotion and the orders to follow are replaced', () => {
+  test('killed between promotion and follow requests are replaced', () => {
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed);
       const term = cluster.termOf(1);
@@ -158,7 +158,7 @@
     }
   });
 
-  test('whose answers to a promotion are lost find that it succeeded', () => {
+  test('that lose the answer to a promotion detect its success', () => {
     const {cluster, primary} = startWriting(1);
     cluster.network.loseAnswers(
       message => message.method === targetPromote.name,
--- a/packages/failover/__tests__/statuses.ts
+++ b/packages/failover/__tests__/statuses.ts
@@ -1,7 +1,7 @@
-/** Statuses for tests of the pure functions. */
+/** Creates statuses for tests of pure functions. */
 import type {TargetStatus} from '@kelpstep/protocol';
 
-/** A replica's status at term 5 whose log ends at a position of that term. */
+/** Status of a replica at term 5 whose log ends in that term. */
 export function statusAt(
   target: string,
   position: number,
