--- a/packages/failover/__tests__/promotion_choice.spec.ts
+++ b/packages/failover/__tests__/candidate_selection.spec.ts
@@ -16,8 +16,8 @@
   })?.target;
 }
 
-describe('the choice of a primary', () => {
-  test('takes the highest log, term before position', () => {
+describe('the selection of a primary', () => {
+  test('takes the highest log by term, then by position', () => {
     const longButOld = statusAt('c', 90, {end: {term: 4, position: 90}});
     expect(choose([statusAt('b', 6), statusAt('c', 7)])).toEqual('c');
     expect(choose([statusAt('b', 6), longButOld])).toEqual('b');
@@ -27,28 +27,28 @@
     expect(choose([statusAt('a', 7), statusAt('b', 7)])).toEqual('b');
   });
 
-  test('takes nobody without a majority', () => {
+  test('takes no member without a majority', () => {
     expect(choose([statusAt('a', 7)])).toEqual(undefined);
   });
 
-  test('counts neither empty members nor such as catch up', () => {
+  test('counts neither empty members nor members that are catching up', () => {
     const catchingUp = statusAt('b', 3, {catchingUp: true});
     expect(choose([statusAt('a', 7), statusAt('b', 0)])).toEqual(undefined);
     expect(choose([statusAt('a', 7), catchingUp])).toEqual(undefined);
   });
 
-  test('bootstraps when all members are there and empty', () => {
+  test('bootstraps when all members are fenced and empty', () => {
     const empty = [statusAt('a', 0), statusAt('b', 0), statusAt('c', 0)];
     expect(choose(empty)).toEqual('b');
     expect(choose(empty.slice(1))).toEqual(undefined);
   });
 
-  test('completes a broken-off bootstrap with the log there is', () => {
+  test('completes an interrupted bootstrap with the only log', () => {
     const members = [statusAt('a', 1), statusAt('b', 0), statusAt('c', 0)];
     expect(choose(members)).toEqual('a');
   });
 
-  test('passes over the avoided only while a majority remains', () => {
+  test('skips avoided members only while a majority remains', () => {
     const members = [statusAt('a', 9), statusAt('b', 6), statusAt('c', 7)];
     expect(choose(members, ['a'])).toEqual('c');
     expect(choose(members.slice(0, 2), ['a'])).toEqual('a');
@@ -56,13 +56,13 @@
 });
 
 describe('a new term', () => {
-  test('is higher than the highest and carries the promoter', () => {
+  test('is higher than the highest and contains the promoter number', () => {
     const term = nextTerm(3 * 65_536 + 65_535, 17);
     expect(term).toEqual(4 * 65_536 + 17);
     expect(nextTerm(0, 0)).toEqual(65_536);
   });
 
-  test('differs between two processes that bear one id', () => {
+  test('differs between two processes with the same proxy id', () => {
     const first = promoterNumberOf({proxy: 'p1', incarnation: 'x'});
     const second = promoterNumberOf({proxy: 'p1', incarnation: 'y'});
     expect(first).not.toEqual(second);
--- a/packages/failover/__tests__/changing_members.spec.ts
+++ b/packages/failover/__tests__/changing_members.spec.ts
@@ -7,10 +7,10 @@
   ChangeStep,
   ChangingMember,
   createChangingGroup,
-} from './abstract_membership';
+} from './model_membership';
 
 const index = fc.nat(4);
-const watcher = fc.nat(1);
+const observer = fc.nat(1);
 const someMembers = fc.uniqueArray(index, {minLength: 1});
 
 function kind<K extends ChangeStep['kind']>(name: K) {
@@ -41,7 +41,7 @@
   },
   {
     weight: 2,
-    arbitrary: fc.record({kind: kind('see'), watcher, member: index}),
+    arbitrary: fc.record({kind: kind('see'), observer, member: index}),
   },
   {
     weight: 8,
@@ -49,14 +49,14 @@
       kind: kind('settle'),
       from: index,
       members: someMembers,
-      watcher,
+      observer,
     }),
   },
   {
     weight: 6,
     arbitrary: fc.record({
       kind: kind('reconfigure'),
-      watcher,
+      observer,
       wanted: fc.oneof(fc.constant([0, 1, 2, 3, 4]), someMembers),
     }),
   },
@@ -76,8 +76,9 @@
 }
 
 /**
- * The naive definition: a record is confirmed if every later primary holds
- * it. Checked after the fact, for all that any watcher took to be confirmed.
+ * Checks that every primary holds each record that an observer considered
+ * confirmed at the same or a lower term. Returns the largest number of
+ * configuration changes in any log.
  */
 function checkHistory(steps: readonly ChangeStep[], size = 3): number {
   const group = createChangingGroup(size);
@@ -85,7 +86,7 @@
   let changes = 0;
   for (const taken of steps) {
     group.take(taken);
-    for (const snapshots of group.watchers) {
+    for (const snapshots of group.observers) {
       const at = group.confirmedBy(snapshots);
       const holder = group.members.find(
         ({records}) => records[(at?.position ?? 0) - 1]?.term === at?.term,
@@ -119,19 +120,19 @@
 }
 
 describe('a record confirmed while members change', () => {
-  // Two primaries, each with a change that the other doesn't know: majorities
-  // of their configurations need not overlap, unless the later one has its
-  // barrier confirmed by the configuration that both began with.
+  // Two primaries may each write a change unknown to the other. Majorities of
+  // these two configurations need not overlap, so the later primary must first
+  // confirm its barrier in the configuration that both started with.
   test('survives changes by the primaries of two terms', () => {
     const steps: ChangeStep[] = [
-      {kind: 'settle', from: 0, members: [1, 2, 3, 4], watcher: 0},
-      {kind: 'settle', from: 0, members: [1, 2, 3], watcher: 1},
-      {kind: 'reconfigure', watcher: 0, wanted: [0, 1, 2, 3, 4]},
-      {kind: 'settle', from: 0, members: [4], watcher: 0},
+      {kind: 'settle', from: 0, members: [1, 2, 3, 4], observer: 0},
+      {kind: 'settle', from: 0, members: [1, 2, 3], observer: 1},
+      {kind: 'reconfigure', observer: 0, wanted: [0, 1, 2, 3, 4]},
+      {kind: 'settle', from: 0, members: [4], observer: 0},
       {kind: 'promote', reached: [1, 2, 3], avoided: 4},
-      {kind: 'settle', from: 1, members: [2], watcher: 1},
-      {kind: 'reconfigure', watcher: 1, wanted: [1, 2, 3]},
-      {kind: 'settle', from: 1, members: [2], watcher: 1},
+      {kind: 'settle', from: 1, members: [2], observer: 1},
+      {kind: 'reconfigure', observer: 1, wanted: [1, 2, 3]},
+      {kind: 'settle', from: 1, members: [2], observer: 1},
       {kind: 'promote', reached: [0, 3, 4], avoided: 3},
     ];
     expect(checkHistory(steps, 4)).toEqual(1);
@@ -145,7 +146,7 @@
       }),
       {numRuns: 2500, seed: 20260102},
     );
-    // The property is about changes, so several must have come about.
+    // The property is vacuous unless the runs contain several changes.
     expect(most >= 3).toEqual(true);
   });
 });
--- a/packages/failover/__tests__/cluster.ts
+++ b/packages/failover/__tests__/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * One group of three databases and several proxies in virtual time, with
- * writers whose confirmed records are checked at the end.
+ * Test cluster in virtual time: one group of three databases and several
+ * proxies. Its writers collect confirmed records for checks of the logs.
  */
 import type {Group} from '@kelpstep/manifest';
 import {LogPosition, targetExecute} from '@kelpstep/protocol';
@@ -32,7 +32,7 @@
 } from '..';
 
 const FIRST_MEMBERS = ['a', 'b', 'c'] as const;
-/** Members that may join a group of `MEMBERS`. */
+/** Members that can be added to the group. */
 export const JOINERS = ['d', 'e', 'f'] as const;
 export type MemberId =
   (typeof FIRST_MEMBERS)[number] | (typeof JOINERS)[number];
@@ -48,7 +48,7 @@
   f: '10.0.0.6',
 };
 
-/** The group of the manifest with these members. */
+/** Returns the manifest's description of the group with these members. */
 export function groupOf(members: readonly MemberId[]): Group {
   return {
     name: 'g',
@@ -64,7 +64,7 @@
   };
 }
 
-/** Host of a proxy by number; the number is its rank as watcher. */
+/** Host of a proxy; its number is its rank among the failure detectors. */
 export function proxyHost(proxy: number): string {
   return `10.0.1.${proxy}`;
 }
@@ -72,11 +72,11 @@
 export interface ClusterOptions {
   readonly seed?: number;
   readonly proxies?: number;
-  /** Proxies that watch, by rank; all by default. */
-  readonly watchers?: number;
+  /** Number of proxies with a failure detector, lowest first; 3 by default. */
+  readonly detectorCount?: number;
   readonly settings?: Partial<DatabaseSettings>;
   readonly timings?: Partial<FailoverTimings>;
-  /** Groups that the manifest is said to have; 1 by default. */
+  /** Simulated number of groups in the manifest; 1 by default. */
   readonly groupCount?: number;
 }
 
@@ -84,21 +84,21 @@
 export interface TestProxy {
   readonly host: string;
   readonly view: ManagedGroupView;
-  /** Changes of leadership that it brought about. */
+  /** Changes of leadership that this proxy has carried out. */
   readonly changes: LeadershipChange[];
-  /** Puts a version of the manifest in force. */
+  /** Puts a version of the manifest in force at this proxy. */
   takeManifest(version: number, members: readonly MemberId[]): void;
 }
 
-/** A write that was told to be confirmed. */
+/** A write whose confirmation is known. */
 export interface ConfirmedWrite {
   readonly entry: string;
   readonly at: LogPosition;
   readonly time: Milliseconds;
 }
 
-const WRITE_PERIOD = 10;
-const WRITE_TIMEOUT = 400;
+const WRITE_INTERVAL_MS = 10;
+const WRITE_TIMEOUT_MS = 400;
 
 export function createCluster(options: ClusterOptions = {}) {
   const timer = createVirtualTimer();
@@ -124,7 +124,7 @@
     });
   }
 
-  /** Starts a member's process, empty. */
+  /** Starts a member's process with an empty log. */
   function startMember(id: MemberId): void {
     const host = MEMBER_HOSTS[id];
     databases.set(
@@ -153,14 +153,14 @@
       }),
       dataCentre: `dc-${MEMBERS[index % MEMBERS.length] ?? 'a'}`,
       watchRank: () =>
-        index < (options.watchers ?? MEMBERS.length) ? index : undefined,
+        index < (options.detectorCount ?? MEMBERS.length) ? index : undefined,
       isLeaving: member => leaving.has(member.id),
       onLeadershipChange: change => changes.push(change),
     });
     directory.updateManifest([group], 1);
     const view = directory.find('g');
     if (view === undefined) {
-      throw new Error('no view');
+      throw new Error('The directory has no view of group g.');
     }
     return {
       host,
@@ -181,13 +181,13 @@
     return proxies[index] as TestProxy;
   }
 
-  /** Writes many records at a member, one connection, without waiting. */
+  /** Sends many writes over one connection without waiting for answers. */
   function writeMany(id: MemberId, term: number, count: number): void {
     const host = proxyHost(0);
     const address = `${MEMBER_HOSTS[id]}:7000`;
     network
       .transportFor(host)
-      .dial(address, WRITE_TIMEOUT)
+      .dial(address, WRITE_TIMEOUT_MS)
       .onSettled(dialled => {
         const connection = dialled.unwrap();
         const peer = createRpcPeer({connection, timer});
@@ -197,7 +197,7 @@
           peer.request(
             targetExecute,
             {statement, mode: 'write', term},
-            WRITE_TIMEOUT,
+            WRITE_TIMEOUT_MS,
           );
         }
       });
@@ -209,11 +209,11 @@
 
   function settle(condition: () => boolean, limit = 30_000): void {
     if (!timer.runUntil(condition, limit)) {
-      throw new Error('The condition did not come about.');
+      throw new Error('The condition was not met within the time limit.');
     }
   }
 
-  /** Waits until a proxy knows a leadership, of a higher term if given. */
+  /** Waits until a proxy knows a leadership with a term above `above`. */
   function awaitPrimary(index = 0, above = 0): MemberId {
     const {view} = proxy(index);
     view.touch();
@@ -225,7 +225,7 @@
     return proxy(index).view.lastLeadership()?.term ?? 0;
   }
 
-  /** Writes through a proxy all the time, one record after the other. */
+  /** Keeps writing through a proxy, one record after the other. */
   function startWriter(index: number): void {
     const {host} = proxy(index);
     runtimeOn(host).spawn('writer', writeOn(proxy(index)));
@@ -235,12 +235,12 @@
     const runtime = runtimeOn(host);
     const peers = new Map<string, RpcPeer>();
     for (;;) {
-      const deadline = runtime.timer.now() + WRITE_TIMEOUT;
+      const deadline = runtime.timer.now() + WRITE_TIMEOUT_MS;
       const leader = yield* waitFor(view.awaitLeadership(deadline));
       if (leader !== undefined) {
         yield* writeTo(view, leader.primary as MemberId, leader.term, peers);
       }
-      yield* sleep(WRITE_PERIOD);
+      yield* sleep(WRITE_INTERVAL_MS);
     }
 
     function* writeTo(
@@ -263,7 +263,7 @@
             mode: 'write',
             term,
           },
-          WRITE_TIMEOUT,
+          WRITE_TIMEOUT_MS,
         ),
       );
       if (reply.err) {
@@ -274,7 +274,7 @@
       }
       const {at} = reply.val;
       const fate = yield* waitFor(
-        group.confirmation(at, runtime.timer.now() + WRITE_TIMEOUT),
+        group.confirmation(at, runtime.timer.now() + WRITE_TIMEOUT_MS),
       );
       const list = fate === 'confirmed' ? confirmed : superseded;
       if (fate !== 'undecided') {
@@ -286,7 +286,7 @@
       const dialled = yield* waitFor(
         network
           .transportFor(host)
-          .dial(`${MEMBER_HOSTS[primary]}:7000`, WRITE_TIMEOUT),
+          .dial(`${MEMBER_HOSTS[primary]}:7000`, WRITE_TIMEOUT_MS),
       );
       return dialled.ok
         ? createRpcPeer({connection: dialled.val, timer: runtime.timer})
@@ -301,7 +301,7 @@
       .map(row => row[0]);
   }
 
-  /** Every confirmed record is there just once, no superseded one is. */
+  /** Checks that a log has each confirmed record once and none superseded. */
   function checkRecords(id: MemberId): void {
     const counts = new Map<unknown, number>();
     for (const entry of entriesAt(id)) {
@@ -312,7 +312,7 @@
     expect(superseded.filter(({entry}) => counts.has(entry))).toEqual([]);
   }
 
-  /** Waits until all members hold the same log. */
+  /** Waits until all members have the same log. */
   function awaitConvergence(members: readonly MemberId[] = MEMBERS): void {
     settle(() => {
       const ends = members.map(id => control(id).status().end);
@@ -324,7 +324,7 @@
     expect(logs.every(log => log === logs[0])).toEqual(true);
   }
 
-  /** Longest time without a confirmed write since a time. */
+  /** Longest time without a confirmed write after the given time. */
   function gapSince(time: Milliseconds): Milliseconds {
     const times = confirmed.map(write => write.time).filter(at => at > time);
     let previous = Math.max(
--- a/packages/failover/__tests__/confirmed_log.spec.ts
+++ b/packages/failover/__tests__/confirmed_log.spec.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check';
 import {describe, test} from 'node:test';
 
-import {MemberLog, computeConfirmed, fateOf, majorityOf} from '..';
-import {Step, createAbstractGroup, statusOf} from './abstract_group';
+import {MemberLog, computeConfirmed, confirmationOf, majorityOf} from '..';
+import {Step, createModelGroup, statusOf} from './model_group';
 
 function log(
   target: string,
@@ -34,7 +34,7 @@
 }
 
 describe('the confirmed position', () => {
-  test('is what a majority of all members holds, heard or not', () => {
+  test('requires a majority of all members, known or not', () => {
     expect(confirmedOf([log('a', 5, 9), log('b', 5, 7)])).toEqual({
       term: 5,
       position: 7,
@@ -42,35 +42,43 @@
     expect(confirmedOf([log('a', 5, 9)])).toEqual(undefined);
   });
 
-  test('counts the primary for what any member holds of its term', () => {
+  test('assumes that the primary holds all records of its term', () => {
     expect(confirmedOf([log('b', 5, 7)])).toEqual({term: 5, position: 7});
     expect(confirmedOf([log('b', 5, 7)], 'b')).toEqual(undefined);
   });
 
-  test('waits until the barrier of the term is covered', () => {
+  test('is unknown until a majority holds the barrier of the term', () => {
     const behind = log('b', 5, 3, {end: {term: 1, position: 3}});
     expect(confirmedOf([log('a', 5, 9), behind])).toEqual(undefined);
   });
 
-  test('counts no member that has seen a higher term', () => {
+  test('ignores members that have seen a higher term', () => {
     const fenced = log('b', 6, 9, {end: {term: 5, position: 9}});
     expect(confirmedOf([log('a', 5, 9), fenced])).toEqual(undefined);
     const deposed = log('a', 6, 9, {end: {term: 5, position: 9}});
     expect(confirmedOf([deposed, log('b', 5, 9)])).toEqual(undefined);
   });
 
-  test('counts no member that is catching up', () => {
+  test('ignores members that are catching up', () => {
     const returned = log('b', 5, 9, {catchingUp: true});
     expect(confirmedOf([log('a', 5, 9), returned])).toEqual(undefined);
   });
 
-  test('decides records of earlier terms by the history', () => {
+  test('decides records of earlier terms by the history of the log', () => {
     const history = log('a', 5, 9).history;
     const confirmed = {at: {term: 5, position: 8}, history};
-    expect(fateOf({term: 1, position: 3}, confirmed)).toEqual('confirmed');
-    expect(fateOf({term: 1, position: 4}, confirmed)).toEqual('superseded');
-    expect(fateOf({term: 5, position: 9}, confirmed)).toEqual(undefined);
-    expect(fateOf({term: 6, position: 1}, confirmed)).toEqual(undefined);
+    expect(confirmationOf({term: 1, position: 3}, confirmed)).toEqual(
+      'confirmed',
+    );
+    expect(confirmationOf({term: 1, position: 4}, confirmed)).toEqual(
+      'superseded',
+    );
+    expect(confirmationOf({term: 5, position: 9}, confirmed)).toEqual(
+      undefined,
+    );
+    expect(confirmationOf({term: 6, position: 1}, confirmed)).toEqual(
+      undefined,
+    );
   });
 });
 
@@ -108,11 +116,10 @@
 ) as fc.Arbitrary<Step>;
 
 /**
- * The naive definition: a record is confirmed if every log that can become
- * or be the primary's from now on has it. Checked after the fact: whoever is
- * primary of a later term must hold what was said to be confirmed before.
+ * Checks confirmation by its consequence: every primary of the same or a later
+ * term must hold all records that were reported as confirmed.
  */
-describe('a record called confirmed', () => {
+describe('a record reported as confirmed', () => {
   test('is in the log of every later primary', () => {
     fc.assert(
       fc.property(
@@ -126,7 +133,7 @@
 });
 
 function checkHistory(size: number, steps: readonly Step[]): void {
-  const group = createAbstractGroup(size);
+  const group = createModelGroup(size);
   const seen = new Map<string, MemberLog>();
   const confirmed: Array<{at: LogPosition; prefix: string}> = [];
   for (const taken of steps) {
@@ -151,10 +158,10 @@
   }
 }
 
-type AbstractGroup = ReturnType<typeof createAbstractGroup>;
+type ModelGroup = ReturnType<typeof createModelGroup>;
 
-/** The terms of all records up to a confirmed one. */
-function prefixOf({members}: AbstractGroup, at: LogPosition): string {
+/** The terms of all records up to and including a confirmed one. */
+function prefixOf({members}: ModelGroup, at: LogPosition): string {
   const holder = members.find(
     ({records}) => records[at.position - 1] === at.term,
   );
@@ -162,7 +169,7 @@
 }
 
 function checkPrimaries(
-  members: AbstractGroup['members'],
+  members: ModelGroup['members'],
   confirmed: ReadonlyArray<{at: LogPosition; prefix: string}>,
 ): void {
   for (const {role, term, records} of members) {
@@ -175,7 +182,7 @@
 }
 
 describe('a majority', () => {
-  test('shares a member with every other one', () => {
+  test('shares a member with every other majority', () => {
     fc.assert(
       fc.property(fc.integer({min: 1, max: 9}), size => {
         const majority = majorityOf(size);
--- a/packages/failover/__tests__/group_view.spec.ts
+++ b/packages/failover/__tests__/group_view.spec.ts
@@ -27,7 +27,7 @@
   return {cluster, primary, others};
 }
 
-/** Lets time pass until a future settles. */
+/** Advances virtual time until a future settles. */
 function valueOf<T>(cluster: Cluster, future: Future<T>): T {
   const values: T[] = [];
   future.onSettled(value => values.push(value));
@@ -42,7 +42,7 @@
 }
 
 describe('a read barrier', () => {
-  test('covers all that any proxy confirmed before it was asked', () => {
+  test('covers all records confirmed by any proxy before its request', () => {
     for (const seed of [1, 2, 3]) {
       const {cluster} = startWriting({seed});
       for (let round = 0; round < 20; round++) {
@@ -58,17 +58,17 @@
     }
   });
 
-  test('is shared by those who wait', () => {
+  test('is shared by concurrent reads', () => {
     const {cluster, primary} = startWriting();
     const {view} = cluster.proxy(2);
-    let asked = 0;
+    let probeCount = 0;
     cluster.network.delayMessages(({from, to, method, isAnswer}) => {
       const matches =
         from === proxyHost(2) &&
         to === MEMBER_HOSTS[primary] &&
         method === 'target.status' &&
         !isAnswer;
-      asked += matches ? 1 : 0;
+      probeCount += matches ? 1 : 0;
       return false;
     }, 0);
     const deadline = cluster.timer.now() + 1000;
@@ -78,10 +78,10 @@
     barriers.forEach(barrier => {
       expect(valueOf(cluster, barrier)).not.toEqual(undefined);
     });
-    expect(asked <= 3).toEqual(true);
+    expect(probeCount <= 3).toEqual(true);
   });
 
-  test('is not had from a primary on the smaller side of a cut', () => {
+  test('fails if the primary is in a minority partition', () => {
     const {cluster, primary, others} = startWriting();
     cluster.network.cutGroups(
       [MEMBER_HOSTS[primary], proxyHost(1)],
@@ -94,8 +94,8 @@
   });
 });
 
-describe('the bound of a member age', () => {
-  test('stays young while the group is in use', () => {
+describe('the bound of the age of member data', () => {
+  test('stays below 200 ms while the group is in use', () => {
     const {cluster} = startWriting();
     for (let look = 0; look < 20; look++) {
       cluster.timer.advance(50);
@@ -103,7 +103,7 @@
     }
   });
 
-  test('tells the lag of a replica', () => {
+  test('reflects the lag of a replica', () => {
     const {cluster, others} = startWriting();
     cluster.control(others[0]).configure({lag: 2000});
     cluster.timer.advance(5000);
@@ -112,7 +112,7 @@
     expect(ageOf(cluster, 1, others[1]) < 200).toEqual(true);
   });
 
-  test('grows in a data centre that is cut off', () => {
+  test('grows in a partitioned data centre', () => {
     const {cluster, others} = startWriting();
     const [near, far] = others;
     cluster.proxy(2).view.touch();
@@ -123,18 +123,18 @@
         .map(id => MEMBER_HOSTS[id])
         .concat(proxyHost(0), proxyHost(1)),
     );
-    const cutAt = cluster.timer.now();
+    const partitionedAt = cluster.timer.now();
     cluster.timer.advance(3000);
     cluster.proxy(2).view.touch();
-    const passed = cluster.timer.now() - cutAt;
+    const passed = cluster.timer.now() - partitionedAt;
     expect(ageOf(cluster, 2, near) >= passed).toEqual(true);
     expect(ageOf(cluster, 1, far) < 200).toEqual(true);
   });
 });
 
 describe('a view', () => {
-  test('closes its streams when it is idle and opens them on use', () => {
-    const cluster = createCluster({proxies: 2, watchers: 1});
+  test('closes its streams when idle and opens them when used', () => {
+    const cluster = createCluster({proxies: 2, detectorCount: 1});
     const {view} = cluster.proxy(1);
     const primary = cluster.awaitPrimary(1);
     const before = cluster.control(primary).statistics().connections;
@@ -146,7 +146,7 @@
     cluster.settle(() => view.members().every(({reachable}) => reachable));
   });
 
-  test('doubts its leadership at a higher term until a round ends that', () => {
+  test('doubts its leadership at a higher term until a round succeeds', () => {
     const {cluster} = startWriting();
     const {view} = cluster.proxy(1);
     const leadership = view.leadership();
@@ -156,10 +156,10 @@
     expect(view.leadership()).toEqual(leadership);
   });
 
-  test('moves the leadership by order to the member that is named', () => {
+  test('moves the leadership to a requested member', () => {
     const {cluster, others} = startWriting();
     const {view} = cluster.proxy(2);
-    const change = valueOf(cluster, view.orderSwitchOver(others[1]));
+    const change = valueOf(cluster, view.requestSwitchOver(others[1]));
     expect(change.ok && change.val.primary).toEqual(others[1]);
     expect(view.leadership()?.primary).toEqual(others[1]);
     cluster.timer.advance(500);
@@ -167,8 +167,8 @@
   });
 });
 
-describe('a member out of step', () => {
-  test('that alone was fenced higher is brought back by a new term', () => {
+describe('a detached member', () => {
+  test('that alone is at a higher term is reattached by a new promotion', () => {
     const {cluster, others} = startWriting();
     const term = cluster.termOf(1) + 70_000;
     const timer = cluster.network.timerFor(proxyHost(9));
@@ -187,7 +187,7 @@
     cluster.checkRecords(others[0]);
   });
 
-  test('that forgot a fence is not taken in by the primary it fenced', () => {
+  test('that lost its fence is not admitted by the deposed primary', () => {
     for (const seed of [1, 2, 3]) {
       const {cluster, primary, others} = startWriting({seed});
       const [left, right] = others;
@@ -199,8 +199,8 @@
       cluster.startWriter(2);
       cluster.timer.advance(1000);
 
-      // It helped to confirm records of the new term; now it starts empty,
-      // on the other side of the cut.
+      // The member helped to confirm records of the new term. It now restarts
+      // empty in the partition of the deposed primary.
       cluster.network.killHost(MEMBER_HOSTS[left]);
       cluster.network.cutGroups([MEMBER_HOSTS[left]], newSide);
       oldSide.forEach(host => cluster.network.heal(host, MEMBER_HOSTS[left]));
--- a/packages/failover/__tests__/members.spec.ts
+++ b/packages/failover/__tests__/members.spec.ts
@@ -28,8 +28,8 @@
 
 type Cluster = ReturnType<typeof startWriting>;
 
-/** Puts a manifest in force at some proxies, at all by default. */
-function commit(
+/** Puts a manifest in force at the given proxies, by default at all. */
+function commitManifest(
   cluster: Cluster,
   version: number,
   members: readonly MemberId[],
@@ -38,7 +38,7 @@
   proxies.forEach(index => cluster.proxy(index).takeManifest(version, members));
 }
 
-/** Ids of the newest configuration in a member's log. */
+/** Joined member ids of the newest configuration in a member's log. */
 function configurationAt(cluster: Cluster, id: MemberId): string {
   const {configuration} = cluster.control(id).status();
   return (configuration?.members ?? []).map(member => member.id).join('');
@@ -54,8 +54,8 @@
   );
 }
 
-/** Each configuration of a log differs from the one before by one member. */
-function checkChanges(cluster: Cluster, id: MemberId): void {
+/** Checks that consecutive configurations differ by exactly one member. */
+function checkSingleChanges(cluster: Cluster, id: MemberId): void {
   const found = cluster
     .control(id)
     .records()
@@ -71,25 +71,25 @@
   });
 }
 
-/** After all came to rest: nothing lost, and writes go on. */
-function checkEnd(cluster: Cluster, members: readonly MemberId[]): void {
+/** Checks that no confirmed record is lost and that writes continue. */
+function checkFinalState(cluster: Cluster, members: readonly MemberId[]): void {
   cluster.timer.advance(2000);
   members.forEach(id => cluster.checkRecords(id));
-  members.forEach(id => checkChanges(cluster, id));
+  members.forEach(id => checkSingleChanges(cluster, id));
   const lastWrite = cluster.confirmed.at(-1)?.time ?? 0;
   expect(cluster.timer.now() - lastWrite < 100).toEqual(true);
 }
 
 describe('a proxy that missed two manifests', () => {
-  test('makes no majority beside that of the newest', () => {
+  test('cannot form a second majority with outdated members', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed);
-      cluster.proxy(1).view.orderSwitchOver('c');
+      cluster.proxy(1).view.requestSwitchOver('c');
       cluster.timer.advance(1000);
       cluster.startMember('d');
-      commit(cluster, 2, ['a', 'b', 'c', 'd'], [1, 2]);
+      commitManifest(cluster, 2, ['a', 'b', 'c', 'd'], [1, 2]);
       cluster.timer.advance(3000);
-      commit(cluster, 3, ['b', 'c', 'd'], [1, 2]);
+      commitManifest(cluster, 3, ['b', 'c', 'd'], [1, 2]);
       cluster.timer.advance(3000);
       cluster.network.cutGroups(
         [...hostsOf(['a', 'b']), proxyHost(0)],
@@ -104,26 +104,26 @@
     }
   });
 
-  test('finds members it was not told of, and undoes no change', () => {
+  test('finds members that its manifest lacks and reverts no change', () => {
     const cluster = startWriting(1);
     cluster.startMember('d');
-    commit(cluster, 2, ['a', 'b', 'c', 'd'], [1, 2]);
+    commitManifest(cluster, 2, ['a', 'b', 'c', 'd'], [1, 2]);
     awaitConfiguration(cluster, 'abcd', ['a', 'b', 'c', 'd']);
-    commit(cluster, 3, ['b', 'c', 'd'], [1, 2]);
+    commitManifest(cluster, 3, ['b', 'c', 'd'], [1, 2]);
     awaitConfiguration(cluster, 'bcd', ['b', 'c', 'd']);
-    cluster.proxy(1).view.orderSwitchOver('d');
+    cluster.proxy(1).view.requestSwitchOver('d');
     cluster.settle(() => cluster.proxy(0).view.leadership()?.primary === 'd');
     const before = cluster.confirmed.length;
     cluster.timer.advance(3000);
     expect(cluster.confirmed.length > before + 300).toEqual(true);
     expect(configurationAt(cluster, 'd')).toEqual('bcd');
     expect(cluster.awaitPrimary(0)).toEqual('d');
-    checkEnd(cluster, ['b', 'c', 'd']);
+    checkFinalState(cluster, ['b', 'c', 'd']);
   });
 });
 
 describe('members of a group', () => {
-  test('are replaced one after another under writes, with a kill', () => {
+  test('are replaced one by one during writes and a primary outage', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed);
       const joins: ReadonlyArray<[MemberId, MemberId]> = [
@@ -135,7 +135,7 @@
       let version = 1;
       for (const [old, joiner] of joins) {
         cluster.startMember(joiner);
-        commit(cluster, ++version, (members = [...members, joiner]));
+        commitManifest(cluster, ++version, (members = [...members, joiner]));
         awaitConfiguration(cluster, members.join(''), members);
         if (joiner === 'e') {
           const killed = cluster.awaitPrimary(1);
@@ -144,17 +144,17 @@
           cluster.startMember(killed);
         }
         members = members.filter(id => id !== old);
-        commit(cluster, ++version, members);
+        commitManifest(cluster, ++version, members);
         awaitConfiguration(cluster, members.join(''), members);
         cluster.network.removeHost(MEMBER_HOSTS[old]);
       }
       expect(members).toEqual(['d', 'e', 'f']);
-      checkEnd(cluster, members);
+      checkFinalState(cluster, members);
       expect(cluster.gapSince(500) < 2500).toEqual(true);
     }
   });
 
-  test('count only once they have caught up, also if one dies before', () => {
+  test('join only after catching up, even if one is removed meanwhile', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed);
       const primary = cluster.awaitPrimary();
@@ -162,21 +162,21 @@
       cluster.timer.advance(500);
       cluster.startMember('d');
       cluster.control('d').configure({lag: 1500});
-      commit(cluster, 2, ['a', 'b', 'c', 'd']);
+      commitManifest(cluster, 2, ['a', 'b', 'c', 'd']);
       cluster.timer.advance(1000);
       expect(configurationAt(cluster, primary)).toEqual('abc');
       cluster.network.removeHost(MEMBER_HOSTS.d);
-      commit(cluster, 3, ['b', 'c', 'd']);
+      commitManifest(cluster, 3, ['b', 'c', 'd']);
       cluster.timer.advance(2000);
       expect(configurationAt(cluster, 'b')).toEqual('abc');
       expect(cluster.gapSince(500) < 1000).toEqual(true);
       cluster.startMember('d');
       awaitConfiguration(cluster, 'bcd', ['b', 'c', 'd']);
-      checkEnd(cluster, ['b', 'c', 'd']);
+      checkFinalState(cluster, ['b', 'c', 'd']);
     }
   });
 
-  test('are changed one at a time by watchers that act at once', () => {
+  test('are changed one at a time by concurrent failure detectors', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed, {timings: {rankDelay: 0}});
       cluster.startMember('d');
@@ -187,22 +187,22 @@
         40,
         4,
       );
-      commit(cluster, 2, ['a', 'b', 'c', 'd', 'e']);
+      commitManifest(cluster, 2, ['a', 'b', 'c', 'd', 'e']);
       cluster.settle(() =>
         wanted.every(id => configurationAt(cluster, id).length === 5),
       );
-      checkEnd(cluster, wanted);
+      checkFinalState(cluster, wanted);
     }
   });
 
-  test('stay consistent if the primary dies with an unconfirmed change', () => {
+  test('stay consistent if the primary fails with an unconfirmed change', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed);
       const primary = cluster.awaitPrimary();
       const others = MEMBERS.filter(id => id !== primary);
       cluster.startMember('d');
-      commit(cluster, 2, ['a', 'b', 'c', 'd']);
-      // The primary writes the configuration but sends it to nobody.
+      commitManifest(cluster, 2, ['a', 'b', 'c', 'd']);
+      // The primary writes the configuration but can't replicate it.
       cluster.settle(() => cluster.control('d').status().end.position > 0);
       cluster.settle(() => {
         const isWritten = configurationAt(cluster, primary) === 'abcd';
@@ -221,42 +221,42 @@
       cluster.network.healAll();
       cluster.network.thawHost(MEMBER_HOSTS[primary]);
       awaitConfiguration(cluster, 'abcd', [primary]);
-      checkEnd(cluster, ['a', 'b', 'c', 'd']);
+      checkFinalState(cluster, ['a', 'b', 'c', 'd']);
     }
   });
 
-  test('stay consistent if the primary dies with a confirmed change', () => {
+  test('stay consistent if the primary fails with a confirmed change', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed);
       const primary = cluster.awaitPrimary();
       const others = MEMBERS.filter(id => id !== primary);
       cluster.startMember('d');
-      commit(cluster, 2, ['a', 'b', 'c', 'd']);
+      commitManifest(cluster, 2, ['a', 'b', 'c', 'd']);
       cluster.settle(() =>
         others.every(id => configurationAt(cluster, id) === 'abcd'),
       );
       cluster.network.killHost(MEMBER_HOSTS[primary]);
       const next = cluster.awaitPrimary(1, cluster.termOf(1));
-      commit(cluster, 3, [...others, 'd']);
+      commitManifest(cluster, 3, [...others, 'd']);
       awaitConfiguration(cluster, [...others, 'd'].join(''), [next]);
-      checkEnd(cluster, [...others, 'd']);
+      checkFinalState(cluster, [...others, 'd']);
     }
   });
 
-  test('can do no harm once they are removed', () => {
+  test('cannot confirm records once they are removed', () => {
     for (const seed of SEEDS) {
       const cluster = startWriting(seed);
-      cluster.proxy(1).view.orderSwitchOver('a');
+      cluster.proxy(1).view.requestSwitchOver('a');
       cluster.timer.advance(1000);
       cluster.startMember('d');
-      commit(cluster, 2, ['a', 'b', 'c', 'd']);
+      commitManifest(cluster, 2, ['a', 'b', 'c', 'd']);
       awaitConfiguration(cluster, 'abcd', ['a', 'b', 'c', 'd']);
-      // The primary and a proxy miss how it is replaced and removed.
+      // The partitioned primary and proxy don't learn of its removal.
       cluster.network.cutGroups(
         [MEMBER_HOSTS.a, proxyHost(0)],
         [...hostsOf(['b', 'c', 'd']), proxyHost(1), proxyHost(2)],
       );
-      commit(cluster, 3, ['b', 'c', 'd'], [1, 2]);
+      commitManifest(cluster, 3, ['b', 'c', 'd'], [1, 2]);
       awaitConfiguration(cluster, 'bcd', ['b', 'c', 'd']);
       expect(cluster.control('a').status().role).toEqual('primary');
       const before = cluster.confirmed.length;
@@ -265,7 +265,7 @@
       cluster.network.healAll();
       cluster.timer.advance(3000);
       expect(configurationAt(cluster, 'b')).toEqual('bcd');
-      checkEnd(cluster, ['b', 'c', 'd']);
+      checkFinalState(cluster, ['b', 'c', 'd']);
     }
   });
 });
--- a/packages/failover/__tests__/membership_change.spec.ts
+++ b/packages/failover/__tests__/membership_change.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {ChangeInput, ConfiguredMember, nextConfiguration} from '..';
+import {ConfiguredMember, MembershipChangeInput, nextConfiguration} from '..';
 import {statusAt} from './statuses';
 
 function membersOf(ids: string): ConfiguredMember[] {
@@ -13,11 +13,11 @@
   return [...ids].map(id => statusAt(id, 200));
 }
 
-/** In a group of a, b and c, led by a; what is changed, if anything. */
+/** Next member ids of a group of a, b and c with primary a, if any change. */
 function change(
   wanted: string | ConfiguredMember[],
   statuses: readonly TargetStatus[] = statusesOf('abcd'),
-  extra: Partial<ChangeInput> = {},
+  extra: Partial<MembershipChangeInput> = {},
 ): string | undefined {
   const next = nextConfiguration({
     configuration: {
@@ -44,19 +44,19 @@
     expect(change('abc')).toEqual(undefined);
   });
 
-  test('waits until the present one and the barrier are confirmed', () => {
+  test('requires that the present one and the barrier are confirmed', () => {
     const written = {confirmed: {term: 5, position: 99}};
     expect(change('abcd', undefined, written)).toEqual(undefined);
     const earlier = {confirmed: {term: 4, position: 150}};
     expect(change('abcd', undefined, earlier)).toEqual(undefined);
   });
 
-  test('is not that of an earlier manifest', () => {
+  test('does not follow an earlier manifest', () => {
     const old = {manifestVersion: 0};
     expect(change('abcd', undefined, old)).toEqual(undefined);
   });
 
-  test('takes in nobody who has not caught up', () => {
+  test('adds no member that has not caught up', () => {
     const behind = [
       statusAt('d', 0),
       statusAt('d', 189),
@@ -69,18 +69,18 @@
     }
   });
 
-  test('is neither smaller than wanted nor without the primary', () => {
+  test('neither has fewer members than wanted nor lacks the primary', () => {
     expect(change('bcd', statusesOf('abc'))).toEqual(undefined);
     expect(change('bc')).toEqual(undefined);
   });
 
-  test('has a majority that works', () => {
+  test('has a majority of caught-up members', () => {
     expect(change('abcd', statusesOf('ad'))).toEqual(undefined);
     expect(change('ab', statusesOf('ac'))).toEqual(undefined);
     expect(change('a', statusesOf('ac'))).toEqual('ac');
   });
 
-  test('drops a database whose id is wanted at another address', () => {
+  test('removes a member whose id is wanted at another address', () => {
     const moved = [...membersOf('ab'), {id: 'c', address: 'c:2'}];
     expect(change(moved)).toEqual('ab');
   });
--- a/packages/failover/__tests__/abstract_group.ts
+++ b/packages/failover/__tests__/model_group.ts
@@ -1,17 +1,17 @@
 /**
- * A group in the abstract for property tests: members as logs, changed by
- * random steps that obey the targets' contract. No time and no messages; what
- * a proxy sees are snapshots, as old as it likes.
+ * Model of a group for property tests. Members are logs that random steps
+ * change within the targets' contract. The model has neither time nor messages:
+ * a proxy sees snapshots of members that may be arbitrarily old.
  */
 import {LogPosition, TermHistory} from '@kelpstep/protocol';
 
-import {MemberLog, chooseCandidate, isVoter, majorityOf} from '..';
+import {MemberLog, canVote, chooseCandidate, majorityOf} from '..';
 
-export interface AbstractMember {
+export interface ModelMember {
   id: string;
   term: number;
   role: 'primary' | 'replica';
-  /** Terms of the records, from position 1. */
+  /** Terms of the records, starting at position 1. */
   records: number[];
   catchingUp: boolean;
 }
@@ -23,12 +23,12 @@
   | {kind: 'restart_empty'; member: number}
   | {kind: 'see'; member: number};
 
-export function endOf(member: AbstractMember): LogPosition {
+export function endOf(member: ModelMember): LogPosition {
   const {records} = member;
   return {term: records.at(-1) ?? 0, position: records.length};
 }
 
-export function statusOf(member: AbstractMember): MemberLog {
+export function statusOf(member: ModelMember): MemberLog {
   const history: TermHistory = member.records.flatMap((term, index) =>
     member.records[index - 1] === term
       ? []
@@ -44,12 +44,8 @@
   };
 }
 
-/** Makes a member's log a prefix of its primary's, `count` records longer. */
-function replicate(
-  from: AbstractMember,
-  to: AbstractMember,
-  count: number,
-): void {
+/** Cuts a log to the prefix shared with the primary; adds `count` records. */
+function replicate(from: ModelMember, to: ModelMember, count: number): void {
   let keep = 0;
   while (
     keep < Math.min(from.records.length, to.records.length) &&
@@ -63,8 +59,8 @@
   to.catchingUp = to.catchingUp && to.records.length < from.records.length;
 }
 
-export function createAbstractGroup(size: number) {
-  const members: AbstractMember[] = [];
+export function createModelGroup(size: number) {
+  const members: ModelMember[] = [];
   for (let index = 0; index < size; index++) {
     members.push({
       id: `m${index}`,
@@ -106,7 +102,7 @@
   }
 
   function take(step: Step): void {
-    const at = (index: number) => members[index % size] as AbstractMember;
+    const at = (index: number) => members[index % size] as ModelMember;
     if (step.kind === 'write' && at(step.member).role === 'primary') {
       at(step.member).records.push(at(step.member).term);
     } else if (step.kind === 'replicate') {
@@ -121,19 +117,19 @@
     }
   }
 
-  /** A member that forgot its term is admitted by a majority of others. */
-  function accepts(member: AbstractMember, term: number): boolean {
+  /** True if the member accepts the term; without a term it needs a majority. */
+  function accepts(member: ModelMember, term: number): boolean {
     const inTerm = members.filter(
-      other => isVoter(statusOf(other)) && other.term === term,
+      other => canVote(statusOf(other)) && other.term === term,
     );
     const admitted = member.term > 0 || inTerm.length >= majorityOf(size);
     return admitted && member.term <= term;
   }
 
-  /** One loss at a time: what more than that destroys is past saving. */
-  function restart(member: AbstractMember): void {
+  /** Restarts a member empty, unless another loss could destroy records. */
+  function restart(member: ModelMember): void {
     const others = members.filter(other => other !== member);
-    if (size >= 3 && others.every(other => isVoter(statusOf(other)))) {
+    if (size >= 3 && others.every(other => canVote(statusOf(other)))) {
       member.records = [];
       member.term = 0;
       member.role = 'replica';
--- a/packages/failover/__tests__/abstract_membership.ts
+++ b/packages/failover/__tests__/model_membership.ts
@@ -1,7 +1,7 @@
 /**
- * A group in the abstract whose members change, for property tests: logs that
- * carry configurations, changed by random steps that obey the targets'
- * contract. Watchers see snapshots that are as old as they like.
+ * Model of a group with changing members for property tests. Logs contain
+ * configurations, and random steps change them within the targets' contract.
+ * Observers see snapshots that may be arbitrarily old.
  */
 import {
   Configuration,
@@ -20,7 +20,7 @@
 
 const IDS = ['m0', 'm1', 'm2', 'm3', 'm4'];
 
-interface AbstractRecord {
+interface ModelRecord {
   readonly term: number;
   readonly configuration?: Configuration;
 }
@@ -29,7 +29,7 @@
   readonly id: string;
   term: number;
   role: 'primary' | 'replica';
-  records: AbstractRecord[];
+  records: ModelRecord[];
   catchingUp: boolean;
 }
 
@@ -37,12 +37,12 @@
   | {kind: 'write'; member: number}
   | {kind: 'replicate'; from: number; to: number; count: number}
   | {kind: 'promote'; reached: number[]; avoided: number}
-  | {kind: 'see'; watcher: number; member: number}
-  /** Members get all from a primary, then a watcher sees them and it. */
-  | {kind: 'settle'; from: number; members: number[]; watcher: number}
-  | {kind: 'reconfigure'; watcher: number; wanted: number[]};
+  | {kind: 'see'; observer: number; member: number}
+  /** Members copy a primary's log, then an observer sees them and it. */
+  | {kind: 'settle'; from: number; members: number[]; observer: number}
+  | {kind: 'reconfigure'; observer: number; wanted: number[]};
 
-/** What one watcher saw of the members, each at another moment. */
+/** An observer's statuses of the members, taken at different moments. */
 export type Snapshots = Map<string, TargetStatus>;
 
 function configurationOf(ids: readonly string[]): Configuration {
@@ -50,7 +50,7 @@
 }
 
 function newestConfiguration(
-  records: readonly AbstractRecord[],
+  records: readonly ModelRecord[],
 ): LoggedConfiguration | undefined {
   const index = records.findLastIndex(each => each.configuration !== undefined);
   const found = records[index];
@@ -97,7 +97,7 @@
   to.catchingUp &&= to.records.length < from.records.length;
 }
 
-/** Members that count, three by default, and others that may join. */
+/** Creates a group of voters, three by default, and members that may join. */
 export function createChangingGroup(size = 3) {
   const first = configurationOf(IDS.slice(0, size));
   const members = IDS.map((id, index): ChangingMember => {
@@ -111,7 +111,7 @@
     };
   });
   const primaries = new Map([[1, 'm0']]);
-  const watchers: Snapshots[] = [new Map(), new Map()];
+  const observers: Snapshots[] = [new Map(), new Map()];
   const lastConfirmed = new Map<Snapshots, LogPosition>();
   let highestTerm = 1;
 
@@ -119,8 +119,8 @@
     return members[index % members.length] as ChangingMember;
   }
 
-  function watcherAt(index: number): Snapshots {
-    return watchers[index % watchers.length] as Snapshots;
+  function observerAt(index: number): Snapshots {
+    return observers[index % observers.length] as Snapshots;
   }
 
   function promote(reached: readonly number[], avoided: number): void {
@@ -144,7 +144,7 @@
     }
   }
 
-  /** What a watcher takes to be confirmed. */
+  /** The highest record that an observer considers confirmed. */
   function confirmedBy(snapshots: Snapshots): LogPosition | undefined {
     const found = computeConfirmed({
       logs: [...snapshots.values()],
@@ -178,7 +178,7 @@
     }
   }
 
-  /** As the primary of the term does it. */
+  /** Writes a configuration under the same conditions as a target. */
   function writeConfiguration(
     primary: string,
     term: number,
@@ -197,7 +197,7 @@
     }
   }
 
-  /** One of the members that take themselves for primary. */
+  /** One of the members that are in the role of primary. */
   function primaryAt(index: number): ChangingMember | undefined {
     const all = members.filter(({role}) => role === 'primary');
     return all[index % Math.max(1, all.length)];
@@ -236,16 +236,16 @@
     } else if (step.kind === 'replicate') {
       send(primaryAt(step.from), at(step.to), step.count);
     } else if (step.kind === 'settle') {
-      settle(primaryAt(step.from), step.members, watcherAt(step.watcher));
+      settle(primaryAt(step.from), step.members, observerAt(step.observer));
     } else if (step.kind === 'promote') {
       promote(step.reached, step.avoided);
     } else if (step.kind === 'see') {
       const member = at(step.member);
-      watcherAt(step.watcher).set(member.id, snapshotOf(member));
+      observerAt(step.observer).set(member.id, snapshotOf(member));
     } else {
-      reconfigure(watcherAt(step.watcher), step.wanted);
+      reconfigure(observerAt(step.observer), step.wanted);
     }
   }
 
-  return {members, watchers, confirmedBy, take};
+  return {members, observers, confirmedBy, take};
 }
--- a/packages/failover/__tests__/watch_pace.spec.ts
+++ b/packages/failover/__tests__/probe_intervals.spec.ts
@@ -1,41 +1,41 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {proportionalWatchPace} from '..';
+import {proportionalProbeIntervals} from '..';
 import {
-  MEMBER_HOSTS,
   MEMBERS,
+  MEMBER_HOSTS,
   MemberId,
   createCluster,
   proxyHost,
 } from './cluster';
 
 const SEEDS = [1, 2, 3];
-/** Time for a change of primary in a large system. */
-const LARGE_LIMIT = 6000;
-/** A broken connection tells at once, at any pace. */
-const KILLED_LIMIT = 1500;
-const LARGE = 5667;
-const UNUSED_LONG_ENOUGH = 30_000;
-const AFTERWARDS = 60_000;
+/** Longest primary outage in a large system. */
+const LARGE_SYSTEM_LIMIT_MS = 6000;
+/** A broken connection is noticed immediately, at any probe interval. */
+const KILLED_LIMIT_MS = 1500;
+const LARGE_GROUP_COUNT = 5667;
+const UNUSED_TIME_MS = 30_000;
+const OBSERVATION_TIME_MS = 60_000;
 
 type Cluster = ReturnType<typeof createCluster>;
 
-/** A group that has been watched, not used, for a while. */
-function startWatching(seed: number): {cluster: Cluster; primary: MemberId} {
-  const cluster = createCluster({seed, groupCount: LARGE});
+/** Starts a group that is monitored but has not been used for a while. */
+function startMonitored(seed: number): {cluster: Cluster; primary: MemberId} {
+  const cluster = createCluster({seed, groupCount: LARGE_GROUP_COUNT});
   const primary = cluster.awaitPrimary();
-  cluster.timer.advance(UNUSED_LONG_ENOUGH);
+  cluster.timer.advance(UNUSED_TIME_MS);
   return {cluster, primary};
 }
 
-/** Loses the primary at different moments between two questions. */
+/** Loses the primary at different times between two status probes. */
 function checkReplaced(
   limit: number,
   lose: (cluster: Cluster, primary: MemberId) => void,
 ): void {
   for (const seed of SEEDS) {
-    const {cluster, primary} = startWatching(seed);
+    const {cluster, primary} = startMonitored(seed);
     cluster.timer.advance(seed * 700);
     const term = cluster.termOf();
     const before = cluster.timer.now();
@@ -43,8 +43,8 @@
     lose(cluster, primary);
     cluster.settle(() => isReplaced(cluster, primary, term));
     expect(cluster.timer.now() - before).toBeLessThan(limit);
-    // What the other watchers knew is old by now; they must not act on it.
-    cluster.timer.advance(AFTERWARDS);
+    // The other failure detectors must not act on their outdated state.
+    cluster.timer.advance(OBSERVATION_TIME_MS);
     expect(countChanges(cluster) - changesBefore).toEqual(1);
   }
 }
@@ -53,7 +53,7 @@
   return cluster.proxies.reduce((sum, {changes}) => sum + changes.length, 0);
 }
 
-/** True once another member leads and a majority follows it. */
+/** True once another member is primary and a majority follows it. */
 function isReplaced(cluster: Cluster, lost: MemberId, term: number): boolean {
   const statuses = MEMBERS.filter(id => id !== lost).map(id =>
     cluster.control(id).status(),
@@ -64,23 +64,23 @@
   );
 }
 
-describe('the pace of watchers', () => {
-  test('follows streams in a small system', () => {
-    expect(proportionalWatchPace(64, 0)).toEqual(undefined);
+describe('the probe intervals', () => {
+  test('are undefined in a small system, which uses streams', () => {
+    expect(proportionalProbeIntervals(64, 0)).toEqual(undefined);
   });
 
-  test('grows with the groups up to its longest', () => {
-    const periods = [100, 1000, 3000, LARGE].map(
-      groups => proportionalWatchPace(groups, 0)?.primary ?? 0,
+  test('grow with the number of groups up to the longest', () => {
+    const periods = [100, 1000, 3000, LARGE_GROUP_COUNT].map(
+      groups => proportionalProbeIntervals(groups, 0)?.primary ?? 0,
     );
     expect(periods).toEqual([...periods].sort((a, b) => a - b));
     expect(periods[2]).toEqual(periods[3]);
   });
 });
 
-describe('a group of a large system that is only watched', () => {
-  test('gets no stream of records', () => {
-    const {cluster, primary} = startWatching(1);
+describe('an unused, monitored group of a large system', () => {
+  test('is not streamed', () => {
+    const {cluster, primary} = startMonitored(1);
     const view = cluster.proxy(0).view;
     const end = () =>
       view.members().find(({member}) => member.id === primary)?.end;
@@ -93,8 +93,8 @@
     expect(end()).toEqual(before);
   });
 
-  test('gets streams again at once when it is used', () => {
-    const {cluster, primary} = startWatching(1);
+  test('resumes its streams immediately when it is used', () => {
+    const {cluster, primary} = startMonitored(1);
     const view = cluster.proxy(0).view;
     view.touch();
     cluster.timer.advance(100);
@@ -104,27 +104,27 @@
     expect(seen).toEqual(cluster.control(primary).status().end);
   });
 
-  test('gets another primary at once when its process ends', () => {
-    checkReplaced(KILLED_LIMIT, (cluster, primary) =>
+  test('gets another primary within 1.5 s when its process is killed', () => {
+    checkReplaced(KILLED_LIMIT_MS, (cluster, primary) =>
       cluster.network.killHost(MEMBER_HOSTS[primary]),
     );
   });
 
-  test('gets another primary within 6 s when its process freezes', () => {
-    checkReplaced(LARGE_LIMIT, (cluster, primary) =>
+  test('gets another primary within 6 s when the primary freezes', () => {
+    checkReplaced(LARGE_SYSTEM_LIMIT_MS, (cluster, primary) =>
       cluster.network.freezeHost(MEMBER_HOSTS[primary]),
     );
   });
 
-  test('gets another primary within 6 s when its host vanishes with the first watcher', () => {
-    checkReplaced(LARGE_LIMIT, (cluster, primary) => {
+  test('gets another primary within 6 s when its host and the first proxy are lost', () => {
+    checkReplaced(LARGE_SYSTEM_LIMIT_MS, (cluster, primary) => {
       cluster.network.killHost(proxyHost(0));
       cluster.network.removeHost(MEMBER_HOSTS[primary]);
     });
   });
 
-  test('gets another primary within 6 s when its replicas lose it', () => {
-    checkReplaced(LARGE_LIMIT, (cluster, primary) => {
+  test('gets another primary within 6 s when replicas lose contact with the old one', () => {
+    checkReplaced(LARGE_SYSTEM_LIMIT_MS, (cluster, primary) => {
       const others = MEMBERS.filter(id => id !== primary);
       cluster.network.cutGroups(
         [MEMBER_HOSTS[primary]],
--- a/packages/failover/src/confirmation_waiters.ts
+++ b/packages/failover/src/confirmation_waiters.ts
@@ -1,4 +1,4 @@
-/** Those who wait for records to be confirmed, ordered by record. */
+/** Requests that wait for records to be confirmed, ordered by record. */
 import {LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import {
   Deferred,
@@ -10,16 +10,16 @@
   settledFuture,
 } from '@kelpstep/runtime';
 
-import {ConfirmedLog, fateOf} from './confirmed_log';
+import {ConfirmedLog, confirmationOf} from './confirmed_log';
 import type {Confirmation} from './group_view';
 
-/** Waiters; settling a batch costs in proportion to the batch. */
+/** Waiters; the cost of settling a batch is proportional to its size. */
 export interface ConfirmationWaiters {
-  /** Waits for the fate of a record, at most up to a monotonic deadline. */
+  /** Waits until a record is confirmed or superseded, or for the deadline. */
   wait(wanted: LogPosition, deadline: Milliseconds): Future<Confirmation>;
-  /** Settles everyone whose record is decided by what is confirmed now. */
+  /** Settles the waiters whose records `confirmed` decides. */
   advance(confirmed: ConfirmedLog): void;
-  /** Waiters that are not settled. */
+  /** Number of waiters that are not settled. */
   size(): number;
 }
 
@@ -29,10 +29,10 @@
   cancelDeadline: Unsubscribe;
 }
 
-/** Settled waiters are cut off the front once there are so many. */
+/** Number of settled waiters at the front that triggers their removal. */
 const COMPACTION_SIZE = 1024;
 
-/** Creates an empty list; `current` gives what is confirmed now. */
+/** Creates an empty list; `current` returns the latest confirmed log. */
 export function createConfirmationWaiters(
   timer: TimerService,
   current: () => ConfirmedLog,
@@ -44,9 +44,9 @@
     wanted: LogPosition,
     deadline: Milliseconds,
   ): Future<Confirmation> {
-    const fate = fateOf(wanted, current());
-    if (fate !== undefined) {
-      return settledFuture(fate);
+    const confirmation = confirmationOf(wanted, current());
+    if (confirmation !== undefined) {
+      return settledFuture(confirmation);
     }
     const deferred = createDeferred<Confirmation>();
     const waiter: Waiter = {wanted, deferred, cancelDeadline: () => {}};
@@ -58,7 +58,7 @@
     return deferred.future;
   }
 
-  /** Records come mostly in rising order, so the search starts at the end. */
+  /** Searches from the end, since records mostly arrive in ascending order. */
   function insert(waiter: Waiter): void {
     let index = waiters.length;
     while (index > first && isAfter(waiters[index - 1], waiter)) {
@@ -85,7 +85,7 @@
     compact();
     for (const {wanted, deferred, cancelDeadline} of due) {
       cancelDeadline();
-      deferred.settle(fateOf(wanted, confirmed) ?? 'undecided');
+      deferred.settle(confirmationOf(wanted, confirmed) ?? 'undecided');
     }
   }
 
--- a/packages/failover/src/confirmed_log.ts
+++ b/packages/failover/src/confirmed_log.ts
@@ -1,4 +1,4 @@
-/** Which records of a group are confirmed, computed from its statuses. */
+/** Computes from the members' statuses which records are confirmed. */
 import {
   EMPTY_LOG_END,
   LogPosition,
@@ -7,10 +7,10 @@
   logContains,
 } from '@kelpstep/protocol';
 
-import type {Confirmation} from './group_view';
-import {Electorate, electorateOf} from './electorate';
 import {newestLog} from './group_members';
-import {MemberLog, isVoter} from './member_status';
+import type {Confirmation} from './group_view';
+import {MemberLog, canVote} from './member_status';
+import {Voters, votersOf} from './voters';
 
 /** The highest confirmed record and the history of a log that holds it. */
 export interface ConfirmedLog {
@@ -18,27 +18,27 @@
   readonly history: TermHistory;
 }
 
-/** Nothing is known to be confirmed. */
+/** Initial value: no record is known to be confirmed. */
 export const NOTHING_CONFIRMED: ConfirmedLog = {
   at: EMPTY_LOG_END,
   history: [],
 };
 
-/** What `computeConfirmed` needs to know. */
+/** Input of `computeConfirmed`. */
 export interface ConfirmationInput {
-  /** Last status of each member that was heard; none of other targets. */
+  /** Last status received from each member, without other targets. */
   readonly logs: readonly MemberLog[];
-  /** Members that count, heard or not, if the logs have no configuration. */
+  /** Number of voters, used if the logs contain no configuration. */
   readonly groupSize: number;
-  /** Member id of a term's primary, if it is known. */
+  /** Member id of the primary of a term, if it is known. */
   primaryOf(term: number): string | undefined;
 }
 
 /**
- * The highest record that a majority holds in the newest term that wrote any;
- * the newest log says whose majority.
- * Members that have seen a higher term do not count, so nothing is confirmed
- * in a term that is known to be fenced at a majority.
+ * Returns the highest record that a majority holds in the newest log's last
+ * term. The newest log's configuration defines the voters. Members that have
+ * seen a higher term are not counted, so nothing is confirmed in a term that
+ * is known to be fenced at a majority.
  */
 export function computeConfirmed(
   input: ConfirmationInput,
@@ -48,9 +48,9 @@
     return undefined;
   }
   const {term} = newest.end;
-  const electorate = electorateOf(newest, input.groupSize);
-  const held = heldPositions(input, electorate, newest.end);
-  const position = held[electorate.majority - 1];
+  const voters = votersOf(newest, input.groupSize);
+  const held = heldPositions(input, voters, newest.end);
+  const position = held[voters.majority - 1];
   if (position === undefined) {
     return undefined;
   }
@@ -58,31 +58,32 @@
 }
 
 /**
- * How far members hold a term's records, the farthest first. A log that ends
- * within a term holds the term's barrier, so no position lies before it.
+ * Returns the last position that each voter holds of the newest term, highest
+ * first. A log that ends within a term holds the term's barrier, so no
+ * returned position precedes the barrier.
  */
 function heldPositions(
   input: ConfirmationInput,
-  electorate: Electorate,
-  farthest: LogPosition,
+  voters: Voters,
+  newestEnd: LogPosition,
 ): number[] {
-  const {term} = farthest;
+  const {term} = newestEnd;
   const positions: number[] = [];
   const primary = input.primaryOf(term);
   for (const log of input.logs) {
-    const counts = isVoter(log) && log.term === term && log.end.term === term;
+    const votes = canVote(log) && log.term === term && log.end.term === term;
     const isReplica = log.target !== primary;
-    if (counts && isReplica && electorate.includes(log.target)) {
+    if (votes && isReplica && voters.includes(log.target)) {
       positions.push(log.end.position);
     }
   }
   if (
     primary !== undefined &&
-    electorate.includes(primary) &&
+    voters.includes(primary) &&
     !isFenced(input.logs, primary, term)
   ) {
-    // It wrote whatever any other member holds of its term.
-    positions.push(farthest.position);
+    // The primary wrote every record of its term that another member holds.
+    positions.push(newestEnd.position);
   }
   return positions.sort((left, right) => right - left);
 }
@@ -96,17 +97,18 @@
 }
 
 /**
- * What became of a record, given what is confirmed. A confirmed barrier
- * decides all records of lower terms: its log holds them, or they are gone.
+ * Returns whether a record is confirmed or superseded, or `undefined` if that
+ * is not known yet. A confirmed barrier decides all records of lower terms: a
+ * record that the barrier's log lacks is superseded.
  */
-export function fateOf(
-  wanted: LogPosition,
+export function confirmationOf(
+  record: LogPosition,
   confirmed: ConfirmedLog,
 ): Exclude<Confirmation, 'undecided'> | undefined {
-  if (compareLogPositions(wanted, confirmed.at) > 0) {
+  if (compareLogPositions(record, confirmed.at) > 0) {
     return undefined;
   }
-  return logContains(confirmed.history, confirmed.at, wanted)
+  return logContains(confirmed.history, confirmed.at, record)
     ? 'confirmed'
     : 'superseded';
 }
--- a/packages/failover/src/fresh_connection.ts
+++ b/packages/failover/src/connection_setup.ts
@@ -1,4 +1,4 @@
-/** Dialling that leaves no connection behind when it is given up. */
+/** Opens connections, and closes them if the attempt is abandoned. */
 import {TargetStatus, createFailure, targetStatus} from '@kelpstep/protocol';
 import type {
   Address,
@@ -16,7 +16,7 @@
   message: 'No connection in time.',
 };
 
-/** The answer to a request for which there is no connection. */
+/** Failure of a request for which there is no connection. */
 export const NOT_CONNECTED: RequestFailure = {
   kind: 'closed',
   sent: false,
@@ -32,7 +32,7 @@
   failure: createFailure('OUTCOME_UNKNOWN', {message: 'No answer in time.'}),
 };
 
-/** Dials; a connection that comes up after the end of the wait is closed. */
+/** Dials; closes a connection that is established only after the wait. */
 export function* dialWithin(
   transport: Transport,
   address: Address,
@@ -46,7 +46,7 @@
     if (outcome === undefined) {
       dialling.onSettled(late => {
         if (late.ok) {
-          late.val.close('dialled in vain');
+          late.val.close('connection attempt abandoned');
         }
       });
     }
@@ -54,8 +54,8 @@
   return outcome ?? Err(DIAL_TIMEOUT);
 }
 
-/** Asks for the status; closes the connection if the wait is cancelled. */
-export function* firstAnswer(
+/** Requests the status; closes the connection if the wait is cancelled. */
+export function* requestFirstStatus(
   peer: RpcPeer,
   timeout: Milliseconds,
 ): Task<Result<TargetStatus, RequestFailure>> {
@@ -69,7 +69,7 @@
     return answer ?? Err(NO_ANSWER);
   } finally {
     if (!ended) {
-      peer.close('dialled in vain');
+      peer.close('connection attempt abandoned');
     }
   }
 }
--- a/packages/failover/src/create_member_link.ts
+++ b/packages/failover/src/create_member_link.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the control connection to one member: follows its status as a stream and
- * carries the requests of rounds and promotions. A silent stream says nothing
- * about its target, so a member counts as lost only when a fresh connection
- * fails too.
+ * Maintains the control connection to one member. It receives the member's
+ * status, by stream or by probes, and carries the requests of rounds and
+ * promotions. An unresponsive connection does not prove that its target is
+ * down, so a member counts as lost only when a new connection fails too.
  */
 import type {Member} from '@kelpstep/manifest';
 import {
@@ -28,20 +28,24 @@
 } from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
 
-import {NOT_CONNECTED, dialWithin, firstAnswer} from './fresh_connection';
+import {
+  NOT_CONNECTED,
+  dialWithin,
+  requestFirstStatus,
+} from './connection_setup';
 import type {LinkCondition, LossReason, MemberLink} from './member_link';
-import {reconnectPause} from './reconnect_pause';
+import {reconnectBackoff} from './reconnect_backoff';
 import type {FailoverTimings} from './timings';
 
-/** What a link is made of. */
+/** Options of `createMemberLink`. */
 export interface MemberLinkOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
   readonly timings: FailoverTimings;
   readonly member: Member;
-  /** Period of questions in place of the stream; undefined: the stream. */
-  pollPeriod(): Milliseconds | undefined;
-  /** Called after each status and each change of condition. */
+  /** Interval of status probes; `undefined` selects the status stream. */
+  probeInterval(): Milliseconds | undefined;
+  /** Called after each status and each change of the condition. */
   onChange(): void;
 }
 
@@ -52,11 +56,11 @@
   const signals = createMailbox<'suspected' | 'paced'>();
   let condition: LinkCondition = 'connecting';
   let lossReason: LossReason | undefined;
-  let current: RpcPeer | undefined;
+  let currentPeer: RpcPeer | undefined;
   let lastStatus: TargetStatus | undefined;
   let statusAt = -Infinity;
   let incarnationSince = timer.now();
-  /** True while the present connection carries a stream. */
+  /** True while the present connection carries a status stream. */
   let isStreaming = false;
   let reachableSince = timer.now();
 
@@ -68,7 +72,7 @@
   }
 
   function acceptStatus(peer: RpcPeer, status: TargetStatus): void {
-    if (peer !== current || status.target !== member.id) {
+    if (peer !== currentPeer || status.target !== member.id) {
       return;
     }
     if (status.incarnation !== lastStatus?.incarnation) {
@@ -79,7 +83,7 @@
     onChange();
   }
 
-  function listen(peer: RpcPeer): void {
+  function listenForStatuses(peer: RpcPeer): void {
     peer.onNotification(targetPositions.name, parameters => {
       const parsed = targetPositions.parameters.safeParse(parameters);
       if (parsed.success) {
@@ -88,21 +92,21 @@
     });
   }
 
-  /** A fresh connection whose target answers, within the time for it. */
+  /** Opens a connection and waits for the target's first status. */
   function* connect(): Task<Result<RpcPeer, LossReason>> {
-    const deadline = timer.now() + timings.freshConnectionTimeout;
+    const deadline = timer.now() + timings.connectionTimeout;
     const dialled = yield* dialWithin(
       transport,
       member.address,
-      timings.freshConnectionTimeout,
+      timings.connectionTimeout,
     );
     if (dialled.err) {
       return Err(dialled.val.kind === 'refused' ? 'refused' : 'unanswered');
     }
     const peer = createRpcPeer({connection: dialled.val, timer});
-    const answer = yield* firstAnswer(peer, deadline - timer.now());
+    const answer = yield* requestFirstStatus(peer, deadline - timer.now());
     if (answer.err) {
-      peer.close('no answer to a fresh connection');
+      peer.close('status request on a new connection failed');
       const exhausted = answer.val.failure.name === 'CONNECTIONS_EXHAUSTED';
       return Err(exhausted ? 'exhausted' : 'unanswered');
     }
@@ -114,13 +118,13 @@
     if (condition === 'lost' || condition === 'connecting') {
       reachableSince = timer.now();
     }
-    const replaced = current;
-    current = peer;
-    replaced?.close('replaced by a fresh connection');
+    const replaced = currentPeer;
+    currentPeer = peer;
+    replaced?.close('replaced by a new connection');
     lossReason = undefined;
-    listen(peer);
+    listenForStatuses(peer);
     isStreaming = false;
-    if (options.pollPeriod() === undefined) {
+    if (options.probeInterval() === undefined) {
       subscribe(peer);
     }
     condition = 'open';
@@ -137,17 +141,18 @@
   }
 
   /**
-   * Follows the stream, or asks from time to time. Ends with the reason once no connection answers, and
-   * with `undefined` if the connection broke.
+   * Tracks the status by stream or by probes. Returns the reason once the
+   * connection is unresponsive and a new one fails, or `undefined` if the
+   * connection broke.
    */
-  function* follow(first: RpcPeer): Task<LossReason | undefined> {
+  function* trackStatus(first: RpcPeer): Task<LossReason | undefined> {
     let peer = first;
     for (;;) {
       const winner = yield* perform(
         race<unknown>([
           settled(peer.closed),
           signals.next(),
-          delay(patience(peer)),
+          delay(remainingQuietTime(peer)),
         ]),
       );
       if (winner.index === 0) {
@@ -155,13 +160,13 @@
       }
       const signal = winner.index === 1 ? winner.value : undefined;
       if (signal === 'paced') {
-        peer = yield* changePace(peer);
+        peer = yield* switchMode(peer);
         continue;
       }
       if (yield* isAlive(peer, signal === 'suspected')) {
         continue;
       }
-      const next = yield* replaceSilent(peer);
+      const next = yield* replaceUnresponsive(peer);
       if (next.err) {
         return next.val;
       }
@@ -169,58 +174,63 @@
     }
   }
 
-  /** How long the connection may be quiet. */
-  function patience(peer: RpcPeer): Milliseconds {
-    const pollPeriod = isStreaming ? undefined : options.pollPeriod();
-    const limit = pollPeriod ?? timings.silenceLimit;
+  /** Returns how much longer nothing may arrive before a check is due. */
+  function remainingQuietTime(peer: RpcPeer): Milliseconds {
+    const probeInterval = isStreaming ? undefined : options.probeInterval();
+    const limit = probeInterval ?? timings.streamTimeout;
     return limit - (timer.now() - peer.lastHeardAt());
   }
 
   function* isAlive(peer: RpcPeer, suspected: boolean): Task<boolean> {
     if (isStreaming || suspected) {
-      return isHeard(peer, suspected);
+      return isResponsive(peer, suspected);
     }
-    return (yield* waitFor(ask(timings.requestTimeout))).ok;
+    return (yield* waitFor(probe(timings.requestTimeout))).ok;
   }
 
   /**
-   * Starts the stream, or takes a connection without one in place of the one
-   * with it: a target ends a stream only with its connection.
+   * Starts the stream, or replaces the connection to end the stream, because a
+   * target ends a stream only together with its connection.
    */
-  function* changePace(peer: RpcPeer): Task<RpcPeer> {
-    const streams = options.pollPeriod() === undefined;
-    if (streams === isStreaming) {
+  function* switchMode(peer: RpcPeer): Task<RpcPeer> {
+    const wantsStream = options.probeInterval() === undefined;
+    if (wantsStream === isStreaming) {
       return peer;
     }
-    if (!streams) {
-      const fresh = yield* connect();
-      return fresh.ok ? fresh.val : peer;
+    if (!wantsStream) {
+      const replacement = yield* connect();
+      return replacement.ok ? replacement.val : peer;
     }
-    // Its answer comes before the silence of the stream is judged.
-    yield* waitFor(ask(timings.requestTimeout));
+    // The answer resets the quiet time, which may exceed `streamTimeout`.
+    yield* waitFor(probe(timings.requestTimeout));
     subscribe(peer);
     return peer;
   }
 
-  function isHeard(peer: RpcPeer, suspected: boolean): boolean {
-    const limit = suspected ? 2 * timings.heartbeat : timings.silenceLimit;
+  function isResponsive(peer: RpcPeer, suspected: boolean): boolean {
+    const limit = suspected ? 2 * timings.heartbeat : timings.streamTimeout;
     return timer.now() - peer.lastHeardAt() < limit;
   }
 
-  /** A fresh connection, the old one if it spoke meanwhile, or neither. */
-  function* replaceSilent(peer: RpcPeer): Task<Result<RpcPeer, LossReason>> {
+  /**
+   * Tries a new connection. Returns it, or the old one if that has become
+   * responsive meanwhile, or the reason why the new one failed.
+   */
+  function* replaceUnresponsive(
+    peer: RpcPeer,
+  ): Task<Result<RpcPeer, LossReason>> {
     const startedAt = timer.now();
     changeCondition('silent');
-    const fresh = yield* connect();
-    if (fresh.ok) {
-      return fresh;
+    const replacement = yield* connect();
+    if (replacement.ok) {
+      return replacement;
     }
     if (peer.lastHeardAt() > startedAt && !peer.closed.isSettled()) {
       changeCondition('open');
       return Ok(peer);
     }
     peer.close('silent');
-    return fresh;
+    return replacement;
   }
 
   function* run(): Task<never> {
@@ -228,17 +238,19 @@
     for (;;) {
       const startedAt = timer.now();
       const connected = yield* connect();
-      const loss = connected.ok ? yield* follow(connected.val) : connected.val;
-      current = undefined;
-      if (connected.ok && timer.now() - startedAt > timings.silenceLimit) {
+      const lossCause = connected.ok
+        ? yield* trackStatus(connected.val)
+        : connected.val;
+      currentPeer = undefined;
+      if (connected.ok && timer.now() - startedAt > timings.streamTimeout) {
         failures = 0;
       }
-      lossReason = loss;
-      changeCondition(loss === undefined ? 'silent' : 'lost');
-      // A stream that broke is tried anew at once: that is the fresh
-      // connection which tells whether its target is lost.
-      if (loss !== undefined || failures > 0) {
-        yield* perform(delay(reconnectPause(timings, failures, random)));
+      lossReason = lossCause;
+      changeCondition(lossCause === undefined ? 'silent' : 'lost');
+      // After a broken connection the next attempt starts without delay,
+      // because its result decides whether the member is lost.
+      if (lossCause !== undefined || failures > 0) {
+        yield* perform(delay(reconnectBackoff(timings, failures, random)));
       }
       failures++;
     }
@@ -249,15 +261,15 @@
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>> {
-    return current === undefined
+    return currentPeer === undefined
       ? settledFuture(Err(NOT_CONNECTED))
-      : current.request(method, parameters, timeout);
+      : currentPeer.request(method, parameters, timeout);
   }
 
-  function ask(
+  function probe(
     timeout: Milliseconds,
   ): Future<Result<TargetStatus, RequestFailure>> {
-    const peer = current;
+    const peer = currentPeer;
     const reply = request(targetStatus, {}, timeout);
     reply.onSettled(result => {
       if (result.ok && peer !== undefined) {
@@ -278,22 +290,22 @@
     reachableSince: () => reachableSince,
     incarnationSince: () => incarnationSince,
     request,
-    ask,
+    probe,
     suspect() {
       if (condition === 'open' && signals.size() === 0) {
         signals.post('suspected');
       }
     },
-    reviewPace() {
-      const streams = options.pollPeriod() === undefined;
-      if (condition === 'open' && streams !== isStreaming) {
+    applyProbeInterval() {
+      const wantsStream = options.probeInterval() === undefined;
+      if (condition === 'open' && wantsStream !== isStreaming) {
         signals.post('paced');
       }
     },
     close() {
       task.cancel();
-      current?.close('no longer needed');
-      current = undefined;
+      currentPeer?.close('no longer needed');
+      currentPeer = undefined;
       condition = 'connecting';
     },
   };
--- a/packages/failover/src/watcher.ts
+++ b/packages/failover/src/failure_detector.ts
@@ -1,7 +1,8 @@
 /**
- * Watches one group: replaces a lost primary, moves a leaving one, and brings
- * members back that don't follow. Several proxies watch a group; each waits
- * longer by its rank, and all of them at once would do no harm.
+ * Monitors one group: replaces a lost primary, switches over from a leaving
+ * one, and reattaches members that don't follow the primary. Several proxies
+ * monitor a group. Each waits longer the higher its rank, but concurrent
+ * actions are safe.
  */
 import {
   Milliseconds,
@@ -11,6 +12,12 @@
   receiveAtMost,
 } from '@kelpstep/runtime';
 
+import {
+  MonitoredMember,
+  Problem,
+  actionDelayFor,
+  findProblem,
+} from './group_problem';
 import type {Leadership} from './group_view';
 import type {MemberLink} from './member_link';
 import {
@@ -22,11 +29,10 @@
 } from './promotion';
 import {createReconciler} from './reconciliation';
 import {createReconfigurer} from './reconfiguration';
-import {Problem, WatchedMember, findProblem, patienceFor} from './situation';
-import {judgeSurvey, survey} from './survey';
+import {evaluateStatusPoll, pollStatuses} from './status_poll';
 import {findSuccessor, switchOver} from './switch_over';
 
-/** A change of leadership that this proxy brought about. */
+/** A change of leadership that this proxy has carried out. */
 export interface LeadershipChange {
   readonly group: string;
   readonly term: number;
@@ -36,24 +42,24 @@
   readonly previous: string | undefined;
   readonly cause: PromotionCause;
   readonly durations: PromotionDurations & {
-    /** Since the former primary was last heard, if it was. */
+    /** Since the former primary's last status, if there was one. */
     readonly sinceHeard: Milliseconds | undefined;
   };
 }
 
-/** A running watcher. */
-export interface Watcher {
+/** A running failure detector. */
+export interface FailureDetector {
   stop(): void;
 }
 
-/** What a watcher is made of. */
-export interface WatcherOptions {
+/** Options of `createFailureDetector`. */
+export interface FailureDetectorOptions {
   readonly context: PromotionContext;
-  /** 0 acts first; `undefined` if this proxy does not watch the group. */
+  /** 0 acts first; `undefined` if this proxy doesn't monitor the group. */
   rank(): number | undefined;
   isLeaving(memberId: string): boolean;
-  /** Monotonic time of the last round that a majority answered. */
-  majorityAskedAt(): Milliseconds;
+  /** Monotonic time of the probes of the last successful round. */
+  majorityProbedAt(): Milliseconds;
   onLeadershipChange(change: LeadershipChange): void;
 }
 
@@ -64,34 +70,36 @@
 
 const BACKOFF_JITTER = 0.5;
 
-/** Starts watching. */
-export function createWatcher(options: WatcherOptions): Watcher {
+/** Starts to monitor a group. */
+export function createFailureDetector(
+  options: FailureDetectorOptions,
+): FailureDetector {
   const {context} = options;
   const {state, timings, runtime} = context;
   const {timer, random} = runtime;
-  const wake = createMailbox<'shifted'>();
-  const reconciler = createReconciler(context, options.majorityAskedAt);
+  const wakeups = createMailbox<'shifted'>();
+  const reconciler = createReconciler(context, options.majorityProbedAt);
   const reconfigurer = createReconfigurer(context);
   let suspicion: Suspicion | undefined;
-  /** Since when replicas have told that they hear a primary lost to us. */
-  let heardSince: Milliseconds | undefined;
-  let notBefore: Milliseconds = 0;
+  /** Since when replicas report contact with a primary that is lost here. */
+  let contactReportedSince: Milliseconds | undefined;
+  let nextAttemptAt: Milliseconds = 0;
   let leavingSince: Milliseconds | undefined;
-  let switchOverAt: Milliseconds = 0;
+  let nextSwitchOverAt: Milliseconds = 0;
 
-  const unsubscribe = state.onShift(() => {
-    if (wake.size() === 0) {
-      wake.post('shifted');
+  const unsubscribe = state.onTopologyChange(() => {
+    if (wakeups.size() === 0) {
+      wakeups.post('shifted');
     }
   });
 
-  function* watch(): Task<never> {
+  function* monitor(): Task<never> {
     let pause: Milliseconds = 0;
     for (;;) {
-      yield* receiveAtMost(wake, pause);
+      yield* receiveAtMost(wakeups, pause);
       const rank = options.rank();
-      const problem = rank === undefined ? undefined : findProblemNow();
-      pause = timings.watchPeriod;
+      const problem = rank === undefined ? undefined : detectProblem();
+      pause = timings.monitorInterval;
       if (rank === undefined) {
         continue;
       }
@@ -104,15 +112,16 @@
     }
   }
 
-  function findProblemNow(): Problem | undefined {
-    const electorate = state.members.electorate();
-    const isCounted = (link: MemberLink) => electorate.includes(link.member.id);
-    const joiners = state.links().filter(link => !isCounted(link));
+  function detectProblem(): Problem | undefined {
+    const voters = state.members.voters();
+    const isVotingMember = (link: MemberLink) =>
+      voters.includes(link.member.id);
+    const joiners = state.links().filter(link => !isVotingMember(link));
     return findProblem({
       members: state
         .links()
-        .filter(isCounted)
-        .map(link => describeMember(link, timer.now())),
+        .filter(isVotingMember)
+        .map(link => toMonitoredMember(link, timer.now())),
       joinersTerm: Math.max(
         0,
         ...joiners.map(link => link.status()?.term ?? 0),
@@ -120,63 +129,71 @@
       known: state.lastLeadership(),
       confirmedTerm: state.confirmed().at.term,
       isolationLimit: timings.isolationLimit,
-      reunionLimit: timings.reunionLimit,
+      rejoinLimit: timings.rejoinLimit,
     });
   }
 
-  /** Handles a problem if it is time to; gives the pause until the next look. */
+  /** Acts on a problem if that is due; returns the time to the next check. */
   function* handle(problem: Problem, rank: number): Task<Milliseconds> {
     if (!isSameProblem(suspicion?.problem, problem)) {
       suspicion = {problem, since: timer.now()};
-      heardSince = undefined;
+      contactReportedSince = undefined;
     }
     const since = suspicion?.since ?? timer.now();
-    const patience =
-      patienceFor(problem.kind, timings) + rank * timings.rankDelay;
-    const due = Math.max(since + patience, notBefore);
+    const delay =
+      actionDelayFor(problem.kind, timings) + rank * timings.rankDelay;
+    const due = Math.max(since + delay, nextAttemptAt);
     if (timer.now() < due) {
-      return Math.min(due - timer.now(), timings.watchPeriod);
+      return Math.min(due - timer.now(), timings.monitorInterval);
     }
-    yield* act(problem);
-    return Math.min(Math.max(notBefore - timer.now(), 0), timings.watchPeriod);
+    yield* resolveProblem(problem);
+    return Math.min(
+      Math.max(nextAttemptAt - timer.now(), 0),
+      timings.monitorInterval,
+    );
   }
 
-  function* act(problem: Problem): Task<void> {
-    const heardAt = lastHeardAt(problem.primary);
+  function* resolveProblem(problem: Problem): Task<void> {
+    const primaryStatusAt = lastStatusAt(problem.primary);
     const link = state.link(problem.primary ?? '');
-    const answers = yield* survey(context);
-    const verdict = judgeSurvey({
+    const statuses = yield* pollStatuses(context);
+    const decision = evaluateStatusPoll({
       problem,
       address: link?.member.address,
       refused: link?.lossReason() === 'refused',
-      answers,
+      responses: statuses,
       groupSize: state.groupSize(),
-      heardWithin: timings.primaryHeardWithin,
+      heartbeatLimit: timings.primaryHeartbeatLimit,
     });
-    heardSince =
-      verdict === 'primary_heard' ? (heardSince ?? timer.now()) : undefined;
-    const waited = timer.now() - (heardSince ?? Infinity);
-    if (verdict === 'go' || waited >= timings.pathCutLimit) {
+    contactReportedSince =
+      decision === 'primary_heard'
+        ? (contactReportedSince ?? timer.now())
+        : undefined;
+    const waited = timer.now() - (contactReportedSince ?? Infinity);
+    if (decision === 'go' || waited >= timings.pathPartitionLimit) {
       const outcome = yield* promote(context, memberId =>
         isAvoided(problem, memberId),
       );
-      finish(outcome, problem.kind, problem.primary, heardAt);
+      finish(outcome, problem.kind, problem.primary, primaryStatusAt);
       return;
     }
-    notBefore =
+    nextAttemptAt =
       timer.now() +
-      (verdict === 'no_majority' ? backoff() : timings.watchPeriod);
+      (decision === 'no_majority' ? backoff() : timings.monitorInterval);
   }
 
   function isAvoided(problem: Problem, memberId: string): boolean {
-    const isGone =
+    const isPrimaryDown =
       problem.kind === 'primary_lost' || problem.kind === 'primary_isolated';
     return (
-      (isGone && memberId === problem.primary) || options.isLeaving(memberId)
+      (isPrimaryDown && memberId === problem.primary) ||
+      options.isLeaving(memberId)
     );
   }
 
-  function lastHeardAt(memberId: string | undefined): Milliseconds | undefined {
+  function lastStatusAt(
+    memberId: string | undefined,
+  ): Milliseconds | undefined {
     const statusAt = state.link(memberId ?? '')?.statusAt();
     return statusAt === -Infinity ? undefined : statusAt;
   }
@@ -185,16 +202,16 @@
     outcome: PromotionOutcome,
     cause: PromotionCause,
     previous: string | undefined,
-    heardAt: Milliseconds | undefined,
+    primaryStatusAt: Milliseconds | undefined,
   ): void {
     suspicion = undefined;
     if (outcome.kind !== 'promoted') {
-      notBefore = timer.now() + backoff();
+      nextAttemptAt = timer.now() + backoff();
       return;
     }
     const {term, primary, durations} = outcome;
     const sinceHeard =
-      heardAt === undefined ? undefined : timer.now() - heardAt;
+      primaryStatusAt === undefined ? undefined : timer.now() - primaryStatusAt;
     options.onLeadershipChange({
       group: state.members.group().name,
       term,
@@ -205,13 +222,13 @@
     });
   }
 
-  /** Different for each watcher, so that two which met don't meet again. */
+  /** Random, so that concurrent failure detectors don't collide repeatedly. */
   function backoff(): Milliseconds {
     return random.jitter(timings.promotionBackoff, BACKOFF_JITTER);
   }
 
   function* maintain(rank: number): Task<void> {
-    reconciler.bringBackStrays(rank);
+    reconciler.reattachMembers(rank);
     reconfigurer.changeMembers(rank);
     const leadership = state.leadership();
     if (leadership === undefined) {
@@ -222,8 +239,8 @@
       return;
     }
     leavingSince ??= timer.now();
-    const due = leavingSince + rank * timings.catchUpLimit;
-    if (timer.now() >= Math.max(due, switchOverAt)) {
+    const due = leavingSince + rank * timings.catchUpTimeout;
+    if (timer.now() >= Math.max(due, nextSwitchOverAt)) {
       yield* moveLeadership(leadership);
     }
   }
@@ -233,18 +250,18 @@
     if (findSuccessor(context, request) === undefined) {
       return;
     }
-    const heardAt = timer.now();
+    const startedAt = timer.now();
     const outcome = yield* switchOver(context, request);
     if (outcome.kind === 'promoted') {
-      finish(outcome, 'switch_over', from.primary, heardAt);
+      finish(outcome, 'switch_over', from.primary, startedAt);
     } else {
-      switchOverAt = timer.now() + timings.switchOverRetry;
+      nextSwitchOverAt = timer.now() + timings.switchOverBackoff;
     }
   }
 
   const task: TaskHandle<never> = runtime.spawn(
     `watcher ${state.members.group().name}`,
-    watch(),
+    monitor(),
   );
 
   return {
@@ -263,7 +280,10 @@
   );
 }
 
-function describeMember(link: MemberLink, now: Milliseconds): WatchedMember {
+function toMonitoredMember(
+  link: MemberLink,
+  now: Milliseconds,
+): MonitoredMember {
   const isReachable = link.condition() === 'open';
   return {
     id: link.member.id,
--- a/packages/failover/src/freshness.ts
+++ b/packages/failover/src/freshness.ts
@@ -1,26 +1,29 @@
-/** Lower bounds for how recent the data of a log is. */
+/** Bounds the age of the data in a log. */
 import {LogPosition, TermHistory, logContains} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** What rounds of questions showed about the primary's log over time. */
+/** The ends of the primary's log that rounds have observed over time. */
 export interface Freshness {
-  /** A round asked at a monotonic time found the primary's log at `end`. */
-  record(askedAt: Milliseconds, end: LogPosition): void;
+  /** Records that a round with probes sent at `probedAt` observed `end`. */
+  record(probedAt: Milliseconds, end: LogPosition): void;
   /**
-   * The latest known time T such that a log with this end and history holds
-   * all that was confirmed at T.
+   * The latest known monotonic time T such that a log with this end and
+   * history holds every record confirmed at T; `undefined` if none is known.
    */
   freshAt(end: LogPosition, history: TermHistory): Milliseconds | undefined;
 }
 
 interface Observation {
-  askedAt: Milliseconds;
+  probedAt: Milliseconds;
   readonly end: LogPosition;
 }
 
 const MAXIMUM_OBSERVATIONS = 64;
 
-/** Keeps every second of the older half, so that long lags stay covered. */
+/**
+ * Drops every second observation of the older half. Old observations become
+ * sparse but remain available for replicas that lag far behind.
+ */
 function thinOut(observations: readonly Observation[]): Observation[] {
   const half = observations.length / 2;
   return observations.filter(
@@ -28,20 +31,20 @@
   );
 }
 
-/** Creates the record of a group's rounds. */
+/** Creates the observations of a group without any round. */
 export function createFreshness(): Freshness {
   let observations: Observation[] = [];
 
-  function record(askedAt: Milliseconds, end: LogPosition): void {
+  function record(probedAt: Milliseconds, end: LogPosition): void {
     const last = observations.at(-1);
     if (last !== undefined && isSame(last.end, end)) {
-      last.askedAt = Math.max(last.askedAt, askedAt);
+      last.probedAt = Math.max(last.probedAt, probedAt);
       return;
     }
-    if (last !== undefined && last.askedAt >= askedAt) {
+    if (last !== undefined && last.probedAt >= probedAt) {
       return;
     }
-    observations.push({askedAt, end});
+    observations.push({probedAt, end});
     if (observations.length > MAXIMUM_OBSERVATIONS) {
       observations = thinOut(observations);
     }
@@ -57,7 +60,7 @@
         observation !== undefined &&
         logContains(history, end, observation.end)
       ) {
-        return observation.askedAt;
+        return observation.probedAt;
       }
     }
     return undefined;
--- a/packages/failover/src/group_directory.ts
+++ b/packages/failover/src/group_directory.ts
@@ -1,4 +1,4 @@
-/** The views of all groups of the manifest in force. */
+/** Maintains the views of all groups of the manifest in force. */
 import type {Group} from '@kelpstep/manifest';
 import type {GroupLeadership} from '@kelpstep/protocol';
 import {Task, TaskHandle, sleep} from '@kelpstep/runtime';
@@ -12,36 +12,40 @@
 
 /** Views by group name. */
 export interface GroupDirectory {
-  /** The view of a group, if the manifest has it. */
+  /** The view of a group, if the manifest contains the group. */
   find(group: string): ManagedGroupView | undefined;
   views(): readonly GroupView[];
-  /** Takes the groups of a new manifest, and its version. */
+  /** Applies the groups of a new manifest; its version is 0 by default. */
   updateManifest(groups: readonly Group[], manifestVersion?: number): void;
-  /** Takes in what a peer told. Unknown groups and members are ignored. */
+  /** Adopts a peer's leadership report; ignores unknown groups and members. */
   learnLeadership(leadership: GroupLeadership): void;
-  /** The newest confirmed leaderships known, for peers. */
+  /** The newest known confirmed leadership of each group, sent to peers. */
   leaderships(): readonly GroupLeadership[];
-  /** Call after each change of the live proxies or the platform's list. */
+  /**
+   * Starts or stops failure detection by this proxy's current rank in each
+   * group. Must be called when the live proxies or the platform's list of
+   * instances change.
+   */
   reviewWatching(): void;
   close(): void;
 }
 
-/** What a directory is made of: what its views have in common. */
+/** Options of `createGroupDirectory`, shared by all its views. */
 export type GroupDirectoryOptions = Omit<
   GroupViewOptions,
   'group' | 'manifestVersion'
 >;
 
-/** Groups whose watching is reviewed without a pause. */
-const REVIEW_BATCH = 64;
-const REVIEW_PAUSE = 5;
+/** Number of groups that are updated before other tasks get to run. */
+const UPDATE_BATCH_SIZE = 64;
+const UPDATE_PAUSE_MS = 5;
 
-/** Creates a directory without groups. */
+/** Creates a directory that has no groups yet. */
 export function createGroupDirectory(
   options: GroupDirectoryOptions,
 ): GroupDirectory {
   const views = new Map<string, ManagedGroupView>();
-  let review: TaskHandle<void> | undefined;
+  let monitoringUpdate: TaskHandle<void> | undefined;
 
   function updateManifest(groups: readonly Group[], manifestVersion = 0): void {
     const names = new Set(groups.map(group => group.name));
@@ -67,22 +71,25 @@
         view.updateGroup(group, manifestVersion);
       }
     }
-    reviewWatching();
+    updateMonitoring();
   }
 
-  function reviewWatching(): void {
-    review?.cancel();
-    review = options.runtime.spawn('review watching', runReview());
+  function updateMonitoring(): void {
+    monitoringUpdate?.cancel();
+    monitoringUpdate = options.runtime.spawn(
+      'review watching',
+      updateInBatches(),
+    );
   }
 
-  /** In batches: ranking a proxy for thousands of groups takes a while. */
-  function* runReview(): Task<void> {
-    let reviewed = 0;
+  /** Works in batches, as ranking the proxy in thousands of groups is slow. */
+  function* updateInBatches(): Task<void> {
+    let updatedCount = 0;
     for (const view of [...views.values()]) {
-      view.reviewWatching();
-      reviewed++;
-      if (reviewed % REVIEW_BATCH === 0) {
-        yield* sleep(REVIEW_PAUSE);
+      view.updateMonitoring();
+      updatedCount++;
+      if (updatedCount % UPDATE_BATCH_SIZE === 0) {
+        yield* sleep(UPDATE_PAUSE_MS);
       }
     }
   }
@@ -103,9 +110,9 @@
     learnLeadership: ({group, term, primary}) =>
       views.get(group)?.learnLeadership({term, primary}),
     leaderships,
-    reviewWatching,
+    reviewWatching: updateMonitoring,
     close() {
-      review?.cancel();
+      monitoringUpdate?.cancel();
       views.forEach(view => view.close());
       views.clear();
     },
--- a/packages/failover/src/group_members.ts
+++ b/packages/failover/src/group_members.ts
@@ -1,6 +1,7 @@
 /**
- * Who belongs to a group. The newest log that was seen says who counts; the
- * manifest says who is wanted. Links are kept to both.
+ * Tracks the members of a group. The configuration in the newest known log
+ * defines the voters, the manifest defines the intended members. The proxy
+ * keeps a control connection to the members of both.
  */
 import type {Group, Member} from '@kelpstep/manifest';
 import {
@@ -9,39 +10,43 @@
   compareLogPositions,
 } from '@kelpstep/protocol';
 
-import {Electorate, electorateOf} from './electorate';
 import type {MemberLog} from './member_status';
+import {Voters, votersOf} from './voters';
 
-/** Members by manifest and log. */
+/** The members of a group according to its manifest and its log. */
 export interface GroupMembers {
   group(): Group;
-  /** Version of the manifest that the group is of. */
+  /** Version of the manifest that describes the group. */
   manifestVersion(): number;
-  /** The configuration of the newest log seen. */
+  /** The configuration of the newest known log. */
   configuration(): LoggedConfiguration | undefined;
   /**
-   * Members of the configuration, and those of the manifest that it doesn't
-   * have. One id is one database: until the configuration has dropped an id,
-   * that id's other address in the manifest isn't used.
+   * The members of the configuration, followed by members of the manifest that
+   * are not in the configuration. If the manifest gives another address for an
+   * id, that address is used only after the configuration has removed the id,
+   * because one id stands for one database.
    */
   all(): readonly Member[];
-  /** Who counts, by the configuration or else by the manifest. */
-  electorate(): Electorate;
-  /** True if the manifest in force no longer wants a member. */
+  /** The voters of the configuration, or of the manifest if there is none. */
+  voters(): Voters;
+  /** True if the manifest in force no longer contains the member. */
   isUnwanted(memberId: string): boolean;
   setGroup(group: Group, manifestVersion: number): void;
-  /** Takes the configuration of the newest log; true if it is another. */
+  /** Adopts the newest log's configuration; returns true if it changed. */
   learn(logs: readonly MemberLog[]): boolean;
 }
 
-type Place = Pick<Member, 'id' | 'address'>;
+type MemberAddress = Pick<Member, 'id' | 'address'>;
 
-/** True if two members are one database. */
-export function isSameDatabase(left: Place, right: Place): boolean {
+/** True if both members are the same database. */
+export function isSameDatabase(
+  left: MemberAddress,
+  right: MemberAddress,
+): boolean {
   return left.id === right.id && left.address === right.address;
 }
 
-/** Creates the members of a group whose logs weren't seen yet. */
+/** Creates the members of a group of which no log is known yet. */
 export function createGroupMembers(
   firstGroup: Group,
   firstVersion: number,
@@ -49,27 +54,27 @@
   let group = firstGroup;
   let manifestVersion = firstVersion;
   let configuration: LoggedConfiguration | undefined;
-  /** Members of this manifest and former ones, by id. */
-  const described = new Map<string, Member>();
+  /** Members of the current and earlier manifests, by id. */
+  const knownMembers = new Map<string, Member>();
   let all: readonly Member[] = [];
-  let electorate = electorateOf({}, 0);
-  review();
+  let voters = votersOf({}, 0);
+  update();
 
-  function review(): void {
-    group.members.forEach(member => described.set(member.id, member));
-    const members = (configuration?.members ?? []).map(describe);
+  function update(): void {
+    group.members.forEach(member => knownMembers.set(member.id, member));
+    const members = (configuration?.members ?? []).map(toMember);
     for (const member of group.members) {
       if (!members.some(({id}) => id === member.id)) {
         members.push(member);
       }
     }
     all = members;
-    electorate = electorateOf({configuration}, group.members.length);
+    voters = votersOf({configuration}, group.members.length);
   }
 
-  /** A member that no manifest here named is taken to be like the others. */
-  function describe({id, address}: Place): Member {
-    const known = described.get(id);
+  /** Copies the first member's limits for a member that no manifest lists. */
+  function toMember({id, address}: MemberAddress): Member {
+    const known = knownMembers.get(id);
     if (known?.address === address) {
       return known;
     }
@@ -88,7 +93,7 @@
       return false;
     }
     configuration = newest;
-    review();
+    update();
     return true;
   }
 
@@ -106,18 +111,18 @@
     manifestVersion: () => manifestVersion,
     configuration: () => configuration,
     all: () => all,
-    electorate: () => electorate,
+    voters: () => voters,
     isUnwanted,
     setGroup(next, version) {
       group = next;
       manifestVersion = version;
-      review();
+      update();
     },
     learn,
   };
 }
 
-/** The log with the highest end. */
+/** Returns the log with the highest end; `undefined` if all are empty. */
 export function newestLog(logs: readonly MemberLog[]): MemberLog | undefined {
   let newest: MemberLog | undefined;
   for (const log of logs) {
--- a/packages/failover/src/situation.ts
+++ b/packages/failover/src/group_problem.ts
@@ -1,38 +1,38 @@
-/** What, if anything, is wrong with a group's primary. */
+/** Detects problems of a group's primary. */
 import type {TargetStatus} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {LinkCondition, LossReason} from './member_link';
-import {majorityOf} from './electorate';
-import {findPrimary, isVoter} from './member_status';
+import {canVote, findPrimary} from './member_status';
 import type {FailoverTimings} from './timings';
+import {majorityOf} from './voters';
 
-/** One member as a watcher sees it. */
-export interface WatchedMember {
+/** A member's state as seen by a failure detector. */
+export interface MonitoredMember {
   readonly id: string;
   readonly address: string;
   readonly condition: LinkCondition;
   readonly lossReason: LossReason | undefined;
-  /** Status of the present stream; `undefined` if none came yet. */
+  /** The last status received; `undefined` if there is none. */
   readonly status: TargetStatus | undefined;
-  /** How long it has been reachable; 0 if it is not. */
+  /** Time for which the member has been reachable; 0 if it is not. */
   readonly reachableFor: Milliseconds;
 }
 
 /** Why a promotion may be needed. */
 export type ProblemKind =
-  /** Its stream broke or fell silent and a fresh connection failed. */
+  /** Its connection broke or is unresponsive, and a new one has failed. */
   | 'primary_lost'
-  /** It answers here, but too few replicas hear it to confirm anything. */
+  /** It responds, but too few replicas reach it to confirm any record. */
   | 'primary_isolated'
-  /** No member is primary of the highest term. */
+  /** No member is the primary of the highest term. */
   | 'leaderless'
   /** Members have seen a higher term and refuse the primary's records. */
   | 'split_term'
-  /** A bootstrap was broken off: too few members ever joined its primary. */
+  /** An interrupted bootstrap: too few members have joined the primary. */
   | 'unconfirmed';
 
-/** A problem; two observations of one problem are equal in all fields. */
+/** A problem; repeated observations of it are equal in all fields. */
 export interface Problem {
   readonly kind: ProblemKind;
   /** Term of the primary concerned, or the highest term seen. */
@@ -41,29 +41,32 @@
   readonly primary: string | undefined;
 }
 
-/** What a watcher knows besides the members' own reports. */
-export interface SituationInput {
-  /** The members that count. */
-  readonly members: readonly WatchedMember[];
-  /** The newest leadership this proxy heard of. */
+/** Input of `findProblem`. */
+export interface GroupProblemInput {
+  /** The voters of the group. */
+  readonly members: readonly MonitoredMember[];
+  /** The newest confirmed leadership known to this proxy. */
   readonly known: {readonly term: number; readonly primary: string} | undefined;
   readonly confirmedTerm: number;
-  /** Highest term of a member that doesn't count yet. */
+  /** Highest term of the members that are not voters yet. */
   readonly joinersTerm?: number;
   readonly isolationLimit: Milliseconds;
-  readonly reunionLimit: Milliseconds;
+  readonly rejoinLimit: Milliseconds;
 }
 
-/** True once every member's stream is either heard or lost. */
-export function isSettled(members: readonly WatchedMember[]): boolean {
+/** True if every member is either reachable or lost. */
+export function isSettled(members: readonly MonitoredMember[]): boolean {
   return members.every(
     ({condition}) => condition === 'open' || condition === 'lost',
   );
 }
 
-/** Names the problem of a group, or undefined if its primary works. */
-export function findProblem(input: SituationInput): Problem | undefined {
-  const statuses = heardStatuses(input.members);
+/**
+ * Returns the problem of a group, or `undefined` if there is none or the state
+ * of the members is not known well enough yet.
+ */
+export function findProblem(input: GroupProblemInput): Problem | undefined {
+  const statuses = availableStatuses(input.members);
   const highest = Math.max(0, ...statuses.map(status => status.term));
   const leader = currentLeader(input, statuses);
   if (leader === undefined) {
@@ -72,7 +75,7 @@
       : undefined;
   }
   const {term, primary} = leader;
-  const kind = problemOfLeader(input, statuses, leader);
+  const kind = problemKindOf(input, statuses, leader);
   return kind && {kind, term, primary};
 }
 
@@ -81,7 +84,9 @@
   readonly primary: string;
 }
 
-function heardStatuses(members: readonly WatchedMember[]): TargetStatus[] {
+function availableStatuses(
+  members: readonly MonitoredMember[],
+): TargetStatus[] {
   return members.flatMap(member =>
     member.status !== undefined && member.condition !== 'lost'
       ? [member.status]
@@ -89,9 +94,12 @@
   );
 }
 
-/** The primary of the highest term of which one is known, by any report. */
+/**
+ * Returns the primary of the highest term for which one is known, from the
+ * known leadership, a primary's own status or the replicas that follow it.
+ */
 function currentLeader(
-  {members, known}: SituationInput,
+  {members, known}: GroupProblemInput,
   statuses: readonly TargetStatus[],
 ): Leader | undefined {
   const reported = findPrimary(statuses);
@@ -108,14 +116,19 @@
   return leader;
 }
 
-function problemOfLeader(
-  input: SituationInput,
+function problemKindOf(
+  input: GroupProblemInput,
   statuses: readonly TargetStatus[],
   leader: Leader,
 ): ProblemKind | undefined {
   const member = input.members.find(({id}) => id === leader.primary);
-  const above = statuses.filter(status => status.term > leader.term).length;
-  if (member === undefined || above >= majorityOf(input.members.length)) {
+  const higherTermCount = statuses.filter(
+    status => status.term > leader.term,
+  ).length;
+  if (
+    member === undefined ||
+    higherTermCount >= majorityOf(input.members.length)
+  ) {
     return 'leaderless';
   }
   if (member.condition === 'lost') {
@@ -128,55 +141,59 @@
   if (role !== 'primary' || term !== leader.term) {
     return 'leaderless';
   }
-  if (above > 0 || (input.joinersTerm ?? 0) > leader.term) {
+  if (higherTermCount > 0 || (input.joinersTerm ?? 0) > leader.term) {
     return 'split_term';
   }
   if (isIsolated(input, leader, member.address)) {
     return 'primary_isolated';
   }
-  return isBrokenOff(input, statuses, leader) ? 'unconfirmed' : undefined;
+  return isBootstrapIncomplete(input, statuses, leader)
+    ? 'unconfirmed'
+    : undefined;
 }
 
 /**
- * True if the primary can get no majority because members are empty and not
- * bound to its term. Only a promotion that asks every member can admit them.
+ * True if the primary's barrier can't reach a majority because members are
+ * empty and not at its term. Only a promotion that fences every member can
+ * admit them.
  */
-function isBrokenOff(
-  {members, confirmedTerm}: SituationInput,
+function isBootstrapIncomplete(
+  {members, confirmedTerm}: GroupProblemInput,
   statuses: readonly TargetStatus[],
   leader: Leader,
 ): boolean {
-  const voters = statuses.filter(isVoter).length;
+  const voteCount = statuses.filter(canVote).length;
   return (
     confirmedTerm < leader.term &&
     statuses.length === members.length &&
-    voters < majorityOf(members.length) &&
+    voteCount < majorityOf(members.length) &&
     statuses.some(status => status.term < leader.term)
   );
 }
 
 /**
- * True if so many replicas miss the primary that nothing gets confirmed. One
- * that was out of reach itself is first left to find its primary again.
+ * True if so many replicas have lost contact with the primary that no record
+ * can be confirmed. A replica that was unreachable itself counts only after it
+ * has had time to reconnect to its primary.
  */
 function isIsolated(
-  {members, isolationLimit, reunionLimit}: SituationInput,
+  {members, isolationLimit, rejoinLimit}: GroupProblemInput,
   leader: Leader,
   address: string,
 ): boolean {
-  const deaf = members.filter(
+  const disconnected = members.filter(
     ({condition, status, reachableFor}) =>
       condition !== 'lost' &&
       status?.term === leader.term &&
       status.following === address &&
       (status.primarySilence ?? 0) > isolationLimit &&
-      reachableFor > reunionLimit,
+      reachableFor > rejoinLimit,
   );
-  return deaf.length >= majorityOf(members.length);
+  return disconnected.length >= majorityOf(members.length);
 }
 
-/** How long a problem must last before the first watcher acts. */
-export function patienceFor(
+/** Time for which a problem must last before the first rank acts on it. */
+export function actionDelayFor(
   kind: ProblemKind,
   timings: FailoverTimings,
 ): Milliseconds {
@@ -185,10 +202,10 @@
     case 'primary_isolated':
       return 0;
     case 'leaderless':
-      return timings.leaderlessPatience;
+      return timings.leaderlessTimeout;
     case 'split_term':
-      return timings.splitTermPatience;
+      return timings.splitTermTimeout;
     case 'unconfirmed':
-      return timings.unconfirmedPatience;
+      return timings.unconfirmedTimeout;
   }
 }
--- a/packages/failover/src/group_state.ts
+++ b/packages/failover/src/group_state.ts
@@ -1,81 +1,85 @@
 /**
- * What a proxy knows of an open group: the links to its members, what they
- * last told, what follows from that about confirmed records and leadership.
+ * Maintains a proxy's state of one open group: the control connections to its
+ * members, their last statuses, and the confirmed records and leadership that
+ * follow from these.
  */
 import type {Group, Member} from '@kelpstep/manifest';
 import type {TargetStatus} from '@kelpstep/protocol';
 import type {TimerService, Unsubscribe} from '@kelpstep/runtime';
 
+import {
+  ConfirmationWaiters,
+  createConfirmationWaiters,
+} from './confirmation_waiters';
 import {
   ConfirmedLog,
   NOTHING_CONFIRMED,
   computeConfirmed,
 } from './confirmed_log';
-import {
-  ConfirmationWaiters,
-  createConfirmationWaiters,
-} from './confirmation_waiters';
 import {Freshness, createFreshness} from './freshness';
 import {GroupMembers, createGroupMembers} from './group_members';
 import type {Leadership} from './group_view';
 import type {MemberLink} from './member_link';
 
-/** Knowledge about one group; changes are told to listeners. */
+/** Known state of one group; listeners are notified of changes. */
 export interface GroupState {
   readonly freshness: Freshness;
   readonly waiters: ConfirmationWaiters;
   readonly members: Omit<GroupMembers, 'setGroup' | 'learn'>;
-  /** How many members count. */
+  /** Number of voters. */
   groupSize(): number;
-  /** Links to all members, whether they count or not. */
+  /** Control connections to all members, voters or not. */
   links(): readonly MemberLink[];
   link(memberId: string): MemberLink | undefined;
-  /** Last statuses of the members that were heard. */
+  /** Last status of each member that has sent one. */
   statuses(): readonly TargetStatus[];
   confirmed(): ConfirmedLog;
-  /** The leadership whose barrier is confirmed, unless it is in doubt. */
+  /**
+   * The newest leadership with a confirmed barrier; `undefined` while a higher
+   * term puts it in doubt or once members' statuses show that it has ended.
+   */
   leadership(): Leadership | undefined;
-  /** The newest leadership known to have been confirmed, perhaps over. */
+  /** The newest leadership known to be confirmed; it may have ended. */
   lastLeadership(): Leadership | undefined;
-  /** Member id of the primary of a term, as far as known. */
+  /** Member id of the primary of a term, if known. */
   primaryOf(term: number): string | undefined;
-  /** Highest term that was seen or heard of. */
+  /** Highest term that a member or another proxy has reported. */
   highestTerm(): number;
-  /** Takes in a confirmed leadership that somebody told. */
+  /** Adopts a confirmed leadership reported by a peer if it is newer. */
   learnLeadership(leadership: Leadership): void;
-  /** Takes in a term that a reply showed; puts lower leaderships in doubt. */
+  /** Records a term seen in a reply; a lower leadership becomes doubtful. */
   observeTerm(term: number): void;
-  /** Ends the doubt: a majority answered a primary's term. */
-  endDoubt(): void;
-  /** Takes a new description of the group without opening links. */
+  /** Ends the doubt, after a majority has answered in a primary's term. */
+  clearDoubt(): void;
+  /** Replaces the description of the group without opening connections. */
   setGroup(group: Group, manifestVersion: number): void;
-  /** Opens links to the group's members; closes those of former members. */
+  /** Connects to the group's members and disconnects from former members. */
   open(): void;
   close(): void;
-  /** Calls the listener after every status. */
+  /** Calls the listener after each status and each change of the state. */
   onChange(listener: () => void): Unsubscribe;
-  /** Calls the listener when anything but log positions has changed. */
-  onShift(listener: () => void): Unsubscribe;
+  /** Calls the listener when anything other than log positions has changed. */
+  onTopologyChange(listener: () => void): Unsubscribe;
 }
 
-/** What the state of a group is made of. */
+/** Options of `createGroupState`. */
 export interface GroupStateOptions {
   readonly timer: TimerService;
   readonly group: Group;
-  /** Version of the manifest that the group is of. */
+  /** Version of the manifest that describes the group. */
   readonly manifestVersion: number;
-  /** Opens a link; `onChange` is called after each status. */
+  /** Opens a control connection; `onChange` is called after each status. */
   createLink(member: Member, onChange: () => void): MemberLink;
-  /** Called when a newer confirmed leadership became known. */
+  /** Called when a newer confirmed leadership becomes known. */
   onLeadership(leadership: Leadership): void;
 }
 
-/** Creates the state of a group that is not open. */
+/** Creates the state of a group; `open` connects to the members. */
 export function createGroupState(options: GroupStateOptions): GroupState {
   const {timer} = options;
   const listeners = new Set<() => void>();
-  const shiftListeners = new Set<() => void>();
-  let shape = '';
+  const topologyListeners = new Set<() => void>();
+  let topology = '';
   const links = new Map<string, MemberLink>();
   const freshness = createFreshness();
   const waiters = createConfirmationWaiters(timer, () => confirmed);
@@ -115,18 +119,18 @@
     if (members.learn(statuses())) {
       syncLinks();
     }
-    const {size} = members.electorate();
+    const {size} = members.voters();
     const input = {logs: statuses(), groupSize: size, primaryOf};
     const computed = computeConfirmed(input) ?? confirmed;
     if (isAdvance(confirmed, computed)) {
       confirmed = computed;
-      recogniseLeader(computed.at.term);
+      updateLeader(computed.at.term);
       waiters.advance(confirmed);
     }
     notify();
   }
 
-  function recogniseLeader(term: number): void {
+  function updateLeader(term: number): void {
     const primary = primaryOf(term);
     if (primary !== undefined) {
       learnLeadership({term, primary});
@@ -152,24 +156,25 @@
       : leader;
   }
 
-  /** True if what members told since shows that the leadership is over. */
+  /** True if later statuses of members show that the leadership has ended. */
   function isDeposed({term, primary}: Leadership): boolean {
-    const electorate = members.electorate();
-    let above = 0;
+    const voters = members.voters();
+    let higherTermCount = 0;
     for (const status of statuses()) {
-      above += status.term > term && electorate.includes(status.target) ? 1 : 0;
+      higherTermCount +=
+        status.term > term && voters.includes(status.target) ? 1 : 0;
     }
-    return above >= electorate.majority || hasLeft(term, primary);
+    return higherTermCount >= voters.majority || hasSteppedDown(term, primary);
   }
 
-  function hasLeft(term: number, primary: string): boolean {
+  function hasSteppedDown(term: number, primary: string): boolean {
     const link = links.get(primary);
     const status = link?.status();
     if (link === undefined || status === undefined) {
       return false;
     }
-    const leads = status.role === 'primary' && status.term === term;
-    return !leads && (status.term >= term || link.statusAt() > leaderSince);
+    const isPrimary = status.role === 'primary' && status.term === term;
+    return !isPrimary && (status.term >= term || link.statusAt() > leaderSince);
   }
 
   function observeTerm(term: number): void {
@@ -214,16 +219,16 @@
   }
 
   function notify(): void {
-    callAll(listeners);
-    const nextShape = describeShape();
-    if (nextShape !== shape) {
-      shape = nextShape;
-      callAll(shiftListeners);
+    callListeners(listeners);
+    const nextTopology = describeTopology();
+    if (nextTopology !== topology) {
+      topology = nextTopology;
+      callListeners(topologyListeners);
     }
   }
 
-  /** All that members and leadership show, but for log positions. */
-  function describeShape(): string {
+  /** Serialises the state of members and leadership without log positions. */
+  function describeTopology(): string {
     const leading = leadership();
     let text = `${leading?.term}/${leading?.primary}/${leader?.term}`;
     for (const link of links.values()) {
@@ -238,7 +243,7 @@
     freshness,
     waiters,
     members,
-    groupSize: () => members.electorate().size,
+    groupSize: () => members.voters().size,
     links: () => [...links.values()],
     link: memberId => links.get(memberId),
     statuses,
@@ -249,7 +254,7 @@
     highestTerm,
     learnLeadership,
     observeTerm,
-    endDoubt() {
+    clearDoubt() {
       inDoubt = false;
       notify();
     },
@@ -257,7 +262,7 @@
     open,
     close,
     onChange: listener => subscribe(listeners, listener),
-    onShift: listener => subscribe(shiftListeners, listener),
+    onTopologyChange: listener => subscribe(topologyListeners, listener),
   };
 }
 
@@ -269,7 +274,7 @@
   return () => listeners.delete(listener);
 }
 
-function callAll(listeners: ReadonlySet<() => void>): void {
+function callListeners(listeners: ReadonlySet<() => void>): void {
   for (const listener of [...listeners]) {
     listener();
   }
--- a/packages/failover/src/group_view.ts
+++ b/packages/failover/src/group_view.ts
@@ -1,4 +1,4 @@
-/** What the request path sees of a group. */
+/** The interface through which requests see a group. */
 import type {Member} from '@kelpstep/manifest';
 import type {LogPosition, TargetRole, TermHistory} from '@kelpstep/protocol';
 import type {Future, Milliseconds, Unsubscribe} from '@kelpstep/runtime';
@@ -10,73 +10,79 @@
   readonly primary: string;
 }
 
-/** A member as last seen. */
+/** Last known state of a member. */
 export interface MemberView {
   readonly member: Member;
-  /** False while its control connection is down or silent. */
+  /** False while the control connection is down or unresponsive. */
   readonly reachable: boolean;
   readonly role: TargetRole | undefined;
   readonly end: LogPosition;
   readonly history: TermHistory;
   /**
-   * Monotonic time T such that the member holds all that was confirmed at T;
-   * `undefined` if there is no such bound. The age of its data is at most
-   * `now - freshAt`.
+   * A monotonic time T such that the member holds every record confirmed at T;
+   * `undefined` if no such time is known. The age of the member's data is at
+   * most `now - freshAt`.
    */
   readonly freshAt: Milliseconds | undefined;
-  /** True if manifest or platform call it leaving: gets no new work. */
+  /**
+   * True if the manifest or the platform marks the member as leaving. It is
+   * given no new requests.
+   */
   readonly leaving: boolean;
 }
 
-/** What became of a record that waits for its confirmation. */
+/** The result of waiting for a record to be confirmed. */
 export type Confirmation =
-  /** A majority holds the record in a history that can't be replaced. */
+  /** A majority holds the record; no later primary can lack it. */
   | 'confirmed'
-  /** A newer term's barrier is confirmed and its log lacks the record. */
+  /** The barrier of a newer term is confirmed and its log lacks the record. */
   | 'superseded'
-  /** Not known by the deadline. */
+  /** Neither was known by the deadline. */
   | 'undecided';
 
 /**
- * A group as one proxy sees it. A group that is used follows the positions of
- * its members as streams; an idle one costs nothing.
+ * One proxy's view of a group. While requests use the group, its members
+ * stream their log positions; the streams of an idle group are closed.
  */
 export interface GroupView {
   readonly group: string;
-  /** Tells that requests use the group; keeps the streams open for a while. */
+  /** Marks the group as in use, which opens its streams or keeps them open. */
   touch(): void;
-  /** The primary of the highest known term, if its barrier is confirmed. */
+  /** The primary of the highest known term if its barrier is confirmed. */
   leadership(): Leadership | undefined;
-  /** All members of the manifest in force. */
+  /** All members of the group's configuration and of the manifest in force. */
   members(): readonly MemberView[];
   /** The highest record known to be confirmed. */
   confirmed(): LogPosition;
-  /** True if the member's log holds the record. */
-  holds(memberId: string, wanted: LogPosition): boolean;
+  /** True if the member's log, as last reported, holds the record. */
+  holds(memberId: string, record: LogPosition): boolean;
   /**
-   * The latest known monotonic time T such that a log that ends at `end`
-   * holds all that was confirmed at T; `undefined` if there is none. For an
-   * answer read at `end`, this bounds the age whoever gave it.
+   * The latest known monotonic time T such that a log ending at `end` holds
+   * every record confirmed at T; `undefined` if none is known. It bounds the
+   * age of an answer read at `end`, whichever member gave the answer.
    */
   freshAt(end: LogPosition): Milliseconds | undefined;
-  /** Waits until the record's fate is known, or a monotonic deadline. */
+  /**
+   * Settles once the record is confirmed or superseded, or with `undecided` at
+   * the monotonic deadline.
+   */
   confirmation(
-    wanted: LogPosition,
+    record: LogPosition,
     deadline: Milliseconds,
   ): Future<Confirmation>;
   /**
-   * Starts or joins a round that asks a majority for its term, sent after this
-   * call. Settles with the log position up to which a read must see to miss
-   * nothing that was confirmed before this call; `undefined` if no round
-   * succeeds by the monotonic deadline.
+   * Settles with the log position that a read must have reached to see every
+   * record confirmed before this call. For this the members' terms are probed
+   * after the call; concurrent calls share a round of probes. Settles with
+   * `undefined` if no round succeeds by the monotonic deadline.
    */
   readBarrier(deadline: Milliseconds): Future<LogPosition | undefined>;
-  /** Settles when a leadership is known, or undefined at the deadline. */
+  /** Settles when a leadership is known, with `undefined` at the deadline. */
   awaitLeadership(deadline: Milliseconds): Future<Leadership | undefined>;
-  /** Reports a higher term that a reply showed. */
+  /** Reports a term seen in a reply. */
   observeTerm(term: number): void;
-  /** Reports that a request to a member failed for want of an answer. */
+  /** Reports that a member did not answer a request. */
   observeSilence(memberId: string): void;
-  /** Calls the listener after each change of leadership or members. */
+  /** Calls the listener after each change of leadership or of a member. */
   onChange(listener: () => void): Unsubscribe;
 }
--- a/packages/failover/src/leadership_wait.ts
+++ b/packages/failover/src/leadership_wait.ts
@@ -1,4 +1,4 @@
-/** Waits until a group has a leadership. */
+/** Waits until the leadership of a group is known. */
 import {
   Future,
   Milliseconds,
@@ -21,7 +21,7 @@
     return settledFuture(known);
   }
   const deferred = createDeferred<Leadership | undefined>();
-  const unsubscribe = state.onShift(() => {
+  const unsubscribe = state.onTopologyChange(() => {
     const leadership = state.leadership();
     if (leadership !== undefined) {
       end(leadership);
--- a/packages/failover/src/managed_group_view.ts
+++ b/packages/failover/src/managed_group_view.ts
@@ -1,4 +1,4 @@
-/** Creates the view of one group and runs what it needs. */
+/** Creates the view of one group and runs its background tasks. */
 import type {Group, Member} from '@kelpstep/manifest';
 import type {Failure} from '@kelpstep/protocol';
 import type {Transport} from '@kelpstep/rpc';
@@ -13,67 +13,80 @@
 import type {Result} from 'ts-results';
 
 import {createMemberLink} from './create_member_link';
+import {
+  FailureDetector,
+  LeadershipChange,
+  createFailureDetector,
+} from './failure_detector';
 import {createGroupState} from './group_state';
 import type {GroupView, Leadership, MemberView} from './group_view';
 import {awaitLeadership} from './leadership_wait';
 import {createMemberPreferences} from './member_preferences';
 import {describeMembers, freshAt, holds} from './member_views';
-import {runOrderedSwitchOver} from './ordered_switch_over';
+import {runOperatorSwitchOver} from './operator_switch_over';
+import {
+  ProbeIntervalPolicy,
+  proportionalProbeIntervals,
+} from './probe_intervals';
+import {createProbeSchedule} from './probe_schedule';
 import type {PromotionContext} from './promotion';
-import {createPollPeriods} from './poll_periods';
 import {createReadRounds} from './read_rounds';
 import {DEFAULT_FAILOVER_TIMINGS, FailoverTimings} from './timings';
-import {WatchPacePolicy, proportionalWatchPace} from './watch_pace';
-import {LeadershipChange, Watcher, createWatcher} from './watcher';
 
-/** A group's view with what its owner may tell it. */
+/** A group's view with the operations that are reserved to its owner. */
 export interface ManagedGroupView extends GroupView {
-  /** Takes the group as a new manifest describes it. */
+  /** Applies a new manifest's description; its version is 0 by default. */
   updateGroup(group: Group, manifestVersion?: number): void;
-  /** Takes in a leadership that a peer told. */
+  /** Adopts a confirmed leadership reported by a peer if it is newer. */
   learnLeadership(leadership: Leadership): void;
-  /** The newest leadership known to have been confirmed, perhaps over. */
+  /** The newest leadership known to be confirmed; it may have ended. */
   lastLeadership(): Leadership | undefined;
-  /** Starts or stops watching as `watchRank` says now. */
-  reviewWatching(): void;
-  /** An operator's order: move the leadership, to a given member if named. */
-  orderSwitchOver(
+  /** Starts or stops failure detection by the present `watchRank`. */
+  updateMonitoring(): void;
+  /**
+   * Carries out an operator's request to change the primary. Without
+   * `successor`, the reachable member with the most records is chosen.
+   */
+  requestSwitchOver(
     successor?: string,
   ): Future<Result<LeadershipChange, Failure>>;
   /** True while its streams are open. */
   isOpen(): boolean;
-  /** Closes all streams and stops watching for good. */
+  /** Closes all streams and stops failure detection permanently. */
   close(): void;
 }
 
-/** What a view is made of. */
+/** Options of `createGroupView`. */
 export interface GroupViewOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
   readonly group: Group;
-  /** Version of the manifest that the group is of; 0 by default. */
+  /** Version of the manifest that describes the group; 0 by default. */
   readonly manifestVersion?: number;
-  /** Times that differ from the defaults. */
+  /** Overrides of `DEFAULT_FAILOVER_TIMINGS`. */
   readonly timings?: Partial<FailoverTimings>;
   /** 0 to 65535, see `promoterNumberOf`. */
   readonly promoterNumber: number;
-  /** Where this proxy is; a near candidate wins between equal logs. */
+  /** Data centre of this proxy; preferred when candidates' logs are equal. */
   readonly dataCentre: string;
-  /** Rank as watcher of the group, 0 first; `undefined` if it is none. */
+  /**
+   * This proxy's rank among the failure detectors of a group, 0 acts first;
+   * `undefined` if it doesn't monitor the group.
+   */
   watchRank(group: string): number | undefined;
-  /** True if the platform calls the member leaving. */
+  /** True if the platform marks the member as leaving. */
   isLeaving(member: Member): boolean;
-  /** Groups of the manifest; by default this one only. */
+  /** Number of groups in the manifest; 1 by default. */
   groupCount?(): number;
-  /** How often members are asked while the group is only watched. */
-  readonly watchPace?: WatchPacePolicy;
-  /** Called when this proxy has brought about a change of leadership. */
+  /** Decides the probe intervals of a group that is monitored but not used. */
+  readonly probeIntervalPolicy?: ProbeIntervalPolicy;
+  /** Called when this proxy has carried out a change of leadership. */
   onLeadershipChange?(change: LeadershipChange): void;
-  /** Called when a newer confirmed leadership became known, however. */
+  /** Called when a newer confirmed leadership becomes known by any means. */
   onLeadershipLearned?(group: string, leadership: Leadership): void;
 }
 
-/** Creates the view of a group; it opens streams when it is used or watched. */
+/** Creates the view of a group, which connects once it is used or monitored. */
 export function createGroupView(options: GroupViewOptions): ManagedGroupView {
   const {runtime, transport} = options;
   const {timer} = runtime;
@@ -83,9 +96,9 @@
     group: options.group,
     manifestVersion: options.manifestVersion ?? 0,
     createLink(member, onChange) {
-      const pollPeriod = () => pollPeriods.of(member.id);
+      const probeInterval = () => probeSchedule.intervalOf(member.id);
       const common = {runtime, transport, timings, member};
-      return createMemberLink({...common, pollPeriod, onChange});
+      return createMemberLink({...common, probeInterval, onChange});
     },
     onLeadership: leadership =>
       options.onLeadershipLearned?.(options.group.name, leadership),
@@ -93,15 +106,16 @@
   const preferences = createMemberPreferences({
     members: state.members,
     dataCentre: options.dataCentre,
-    isCalledLeaving: options.isLeaving,
+    isMarkedLeaving: options.isLeaving,
   });
   const {isLeaving} = preferences;
-  const pollPeriods = createPollPeriods({
+  const probeSchedule = createProbeSchedule({
     state,
     isInUse,
     isLeaving,
     watchRank,
-    watchPace: options.watchPace ?? proportionalWatchPace,
+    probeIntervalPolicy:
+      options.probeIntervalPolicy ?? proportionalProbeIntervals,
     groupCount: options.groupCount ?? (() => 1),
   });
   const rounds = createReadRounds({
@@ -109,9 +123,9 @@
     timings,
     links: state.links,
     groupSize: state.groupSize,
-    onSuccess(result, askedAt) {
-      state.freshness.record(askedAt, result.end);
-      state.endDoubt();
+    onSuccess(result, probedAt) {
+      state.freshness.record(probedAt, result.end);
+      state.clearDoubt();
     },
   });
   const context: PromotionContext = {
@@ -124,13 +138,13 @@
   let isOpen = false;
   let isClosed = false;
   let lastUse = -Infinity;
-  let watcher: Watcher | undefined;
-  let background: TaskHandle<never> | undefined;
+  let failureDetector: FailureDetector | undefined;
+  let backgroundRounds: TaskHandle<never> | undefined;
   let cancelIdleCheck: Unsubscribe = () => {};
-  let stopReviewingPace: Unsubscribe = () => {};
-  let views: readonly MemberView[] | undefined;
+  let unsubscribeTopology: Unsubscribe = () => {};
+  let memberViews: readonly MemberView[] | undefined;
   state.onChange(() => {
-    views = undefined;
+    memberViews = undefined;
   });
 
   function touch(): void {
@@ -138,12 +152,12 @@
     lastUse = timer.now();
     open();
     if (!wasInUse) {
-      pollPeriods.review();
+      probeSchedule.apply();
     }
   }
 
   function isInUse(): boolean {
-    return timer.now() - lastUse < timings.idleTime;
+    return timer.now() - lastUse < timings.idleTimeout;
   }
 
   function watchRank(): number | undefined {
@@ -156,35 +170,37 @@
     }
     isOpen = true;
     state.open();
-    background = runtime.spawn('group rounds', runBackgroundRounds());
-    cancelIdleCheck = timer.every(timings.idleTime / 4, closeIfIdle);
-    stopReviewingPace = state.onShift(pollPeriods.endIfUnsettled);
-    startWatching();
+    backgroundRounds = runtime.spawn('group rounds', runBackgroundRounds());
+    cancelIdleCheck = timer.every(timings.idleTimeout / 4, closeIfIdle);
+    unsubscribeTopology = state.onTopologyChange(
+      probeSchedule.applyIfUnsettled,
+    );
+    startMonitoring();
   }
 
-  function startWatching(): void {
-    if (watcher === undefined && watchRank() !== undefined) {
-      watcher = createWatcher({
+  function startMonitoring(): void {
+    if (failureDetector === undefined && watchRank() !== undefined) {
+      failureDetector = createFailureDetector({
         context,
         rank: watchRank,
         isLeaving,
-        majorityAskedAt: rounds.lastSuccessAskedAt,
+        majorityProbedAt: rounds.lastSuccessProbedAt,
         onLeadershipChange: change => options.onLeadershipChange?.(change),
       });
     }
   }
 
-  function stopWatching(): void {
-    watcher?.stop();
-    watcher = undefined;
+  function stopMonitoring(): void {
+    failureDetector?.stop();
+    failureDetector = undefined;
   }
 
   function closeStreams(): void {
     isOpen = false;
-    stopWatching();
-    background?.cancel();
+    stopMonitoring();
+    backgroundRounds?.cancel();
     cancelIdleCheck();
-    stopReviewingPace();
+    unsubscribeTopology();
     rounds.close();
     state.close();
   }
@@ -194,40 +210,43 @@
       closeStreams();
       return;
     }
-    pollPeriods.review();
+    probeSchedule.apply();
   }
 
-  function reviewWatching(): void {
+  function updateMonitoring(): void {
     if (isClosed) {
       return;
     }
     if (watchRank() === undefined) {
-      stopWatching();
+      stopMonitoring();
     } else {
       open();
-      startWatching();
+      startMonitoring();
     }
   }
 
-  /** A group that is only watched needs rounds just to settle a doubt. */
+  /**
+   * An unused group runs rounds only while its leadership is unknown or a
+   * member is empty. In use, rounds keep the bounds of replicas' ages recent.
+   */
   function* runBackgroundRounds(): Task<never> {
     for (;;) {
-      yield* sleep(timings.roundPeriod);
-      const isUnsettled =
+      yield* sleep(timings.roundInterval);
+      const isUncertain =
         state.leadership() === undefined ||
         state.statuses().some(status => status.end.position === 0);
-      if (isInUse() || isUnsettled) {
+      if (isInUse() || isUncertain) {
         rounds.refresh();
       }
     }
   }
 
-  function orderSwitchOver(
+  function requestSwitchOver(
     successor?: string,
   ): Future<Result<LeadershipChange, Failure>> {
     touch();
     const name = `switch-over ${options.group.name}`;
-    const task = runOrderedSwitchOver(context, isLeaving, successor);
+    const task = runOperatorSwitchOver(context, isLeaving, successor);
     const result = runtime.spawn(name, task).result;
     result.onSettled(change => {
       if (change.ok) {
@@ -241,13 +260,13 @@
     group: options.group.name,
     touch,
     leadership: state.leadership,
-    members: () => (views ??= describeMembers(state, isLeaving)),
+    members: () => (memberViews ??= describeMembers(state, isLeaving)),
     confirmed: () => state.confirmed().at,
-    holds: (memberId, wanted) => holds(state, memberId, wanted),
+    holds: (memberId, record) => holds(state, memberId, record),
     freshAt: end => freshAt(state, end),
-    confirmation(wanted, deadline) {
+    confirmation(record, deadline) {
       touch();
-      return state.waiters.wait(wanted, deadline);
+      return state.waiters.wait(record, deadline);
     },
     readBarrier(deadline) {
       touch();
@@ -262,18 +281,18 @@
       rounds.refresh();
     },
     observeSilence: memberId => state.link(memberId)?.suspect(),
-    onChange: state.onShift,
+    onChange: state.onTopologyChange,
     updateGroup(group, manifestVersion = 0) {
       state.setGroup(group, manifestVersion);
       if (isOpen) {
         state.open();
       }
-      reviewWatching();
+      updateMonitoring();
     },
     learnLeadership: state.learnLeadership,
     lastLeadership: state.lastLeadership,
-    reviewWatching,
-    orderSwitchOver,
+    updateMonitoring,
+    requestSwitchOver,
     isOpen: () => isOpen,
     close() {
       isClosed = true;
--- a/packages/failover/src/member_link.ts
+++ b/packages/failover/src/member_link.ts
@@ -1,4 +1,4 @@
-/** The control connection to one member, as other parts use it. */
+/** Interface of the control connection to one member. */
 import type {Member} from '@kelpstep/manifest';
 import type {Method, TargetStatus} from '@kelpstep/protocol';
 import type {RequestFailure} from '@kelpstep/rpc';
@@ -6,14 +6,16 @@
 import type {Result} from 'ts-results';
 
 /**
- * `connecting`: not yet known. `open`: the stream is heard. `silent`: it is
- * not, and a fresh connection is being tried. `lost`: that failed as well.
+ * `connecting`: no connection has been tried to its end yet. `open`: the
+ * member responds. `silent`: the connection broke or is unresponsive, and a
+ * new one is being tried. `lost`: the new connection has failed too.
  */
 export type LinkCondition = 'connecting' | 'open' | 'silent' | 'lost';
 
 /**
- * `refused`: nobody listens at the address. `exhausted`: it answered that its
- * connections are used up, hence it lives. `unanswered`: anything else.
+ * `refused`: no process listens at the address. `exhausted`: the target runs
+ * but reported that its connection limit is reached. `unanswered`: any other
+ * cause.
  */
 export type LossReason = 'refused' | 'exhausted' | 'unanswered';
 
@@ -21,27 +23,27 @@
 export interface MemberLink {
   readonly member: Member;
   condition(): LinkCondition;
-  /** Why the last fresh connection failed, while the member is lost. */
+  /** Why the last new connection failed; set while the member is lost. */
   lossReason(): LossReason | undefined;
-  /** The last status that arrived, perhaps long ago. */
+  /** The last status received, of whatever age. */
   status(): TargetStatus | undefined;
-  /** Monotonic time of the last status; -Infinity without one. */
+  /** Monotonic time of the last status; -Infinity if there is none. */
   statusAt(): Milliseconds;
   /** Monotonic time since when the member has not been lost. */
   reachableSince(): Milliseconds;
-  /** Monotonic time at which the process now at the address was first seen. */
+  /** Monotonic time at which the present process was first seen. */
   incarnationSince(): Milliseconds;
-  /** Sends a request; fails at once without a connection. */
+  /** Sends a request; fails immediately if there is no connection. */
   request<P, R>(
     method: Method<P, R>,
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
-  /** Asks for the status; an answer counts like one of the stream. */
-  ask(timeout: Milliseconds): Future<Result<TargetStatus, RequestFailure>>;
-  /** Tries a fresh connection now, unless the stream was just heard. */
+  /** Requests the status; an answer is processed like one of the stream. */
+  probe(timeout: Milliseconds): Future<Result<TargetStatus, RequestFailure>>;
+  /** Tries a new connection now unless the member has just been responsive. */
   suspect(): void;
-  /** Takes up the period at which the member is to be asked now. */
-  reviewPace(): void;
+  /** Switches between stream and probes if the probe interval requires it. */
+  applyProbeInterval(): void;
   close(): void;
 }
--- a/packages/failover/src/member_preferences.ts
+++ b/packages/failover/src/member_preferences.ts
@@ -1,40 +1,43 @@
-/** Which members get no new work, and which should rather lead. */
+/** Decides which members get no new requests and which to prefer as primary. */
 import type {Member} from '@kelpstep/manifest';
 
 import type {GroupMembers} from './group_members';
 
-/** What the preferences go by. */
+/** Options of `createMemberPreferences`. */
 export interface MemberPreferencesOptions {
   readonly members: Pick<GroupMembers, 'all' | 'isUnwanted'>;
-  /** Where this proxy is; a near candidate wins between equal logs. */
+  /** Data centre of this proxy; preferred when candidates' logs are equal. */
   readonly dataCentre: string;
-  /** True if the platform calls the member leaving. */
-  isCalledLeaving(member: Member): boolean;
+  /** True if the platform marks the member as leaving. */
+  isMarkedLeaving(member: Member): boolean;
 }
 
 /** Preferences among a group's members, by member id. */
 export interface MemberPreferences {
-  /** True if manifest, platform or configuration let the member go. */
+  /**
+   * True if the manifest or the platform marks the member as leaving, or the
+   * manifest no longer contains it.
+   */
   isLeaving(memberId: string): boolean;
-  /** Decides between equal logs: the lower number goes first. */
+  /** Decides between candidates with equal logs; the lowest cost wins. */
   cost(memberId: string): number;
 }
 
 const LEAVING_COST = 1000;
-const FAR_COST = 100;
+const OTHER_DATA_CENTRE_COST = 100;
 
 /** Creates the preferences of a group. */
 export function createMemberPreferences(
   options: MemberPreferencesOptions,
 ): MemberPreferences {
-  const {members, dataCentre, isCalledLeaving} = options;
+  const {members, dataCentre, isMarkedLeaving} = options;
 
   function isLeaving(memberId: string): boolean {
     const member = members.all().find(({id}) => id === memberId);
     return (
       member !== undefined &&
       (member.state === 'leaving' ||
-        isCalledLeaving(member) ||
+        isMarkedLeaving(member) ||
         members.isUnwanted(memberId))
     );
   }
@@ -42,9 +45,10 @@
   function cost(memberId: string): number {
     const all = members.all();
     const index = all.findIndex(({id}) => id === memberId);
-    const distance = all[index]?.dataCentre === dataCentre ? 0 : FAR_COST;
-    const departure = isLeaving(memberId) ? LEAVING_COST : 0;
-    return index + distance + departure;
+    const distanceCost =
+      all[index]?.dataCentre === dataCentre ? 0 : OTHER_DATA_CENTRE_COST;
+    const leavingCost = isLeaving(memberId) ? LEAVING_COST : 0;
+    return index + distanceCost + leavingCost;
   }
 
   return {isLeaving, cost};
--- a/packages/failover/src/ask_members.ts
+++ b/packages/failover/src/member_requests.ts
@@ -1,4 +1,4 @@
-/** Sends one request to several members and collects the answers. */
+/** Sends a request to several members and collects the replies. */
 import type {Failure, Method} from '@kelpstep/protocol';
 import {
   Milliseconds,
@@ -10,19 +10,20 @@
 
 import type {MemberLink} from './member_link';
 
-/** What became of the request at one member. */
+/** Outcome of the request at one member; neither field if it didn't answer. */
 export interface MemberReply<R> {
   readonly memberId: string;
   readonly result?: R;
-  /** Present if the member refused; without either it gave no answer. */
+  /** Present if the member refused the request. */
   readonly refusal?: Failure;
 }
 
 /**
- * Asks all links at once. Ends when each has answered or failed, or after the
- * timeout; members without an answer by then are not in the list.
+ * Sends the request to all members concurrently. Returns when each has
+ * answered or failed, or after the timeout. Members that have done neither by
+ * then are missing from the result.
  */
-export function* askMembers<P, R>(
+export function* requestFromMembers<P, R>(
   timer: TimerService,
   links: readonly MemberLink[],
   method: Method<P, R>,
@@ -54,7 +55,7 @@
   return replies;
 }
 
-/** The results among the replies. */
+/** Returns the results of the successful replies. */
 export function resultsOf<R>(replies: ReadonlyArray<MemberReply<R>>): R[] {
   return replies.flatMap(reply =>
     reply.result === undefined ? [] : [reply.result],
--- a/packages/failover/src/member_status.ts
+++ b/packages/failover/src/member_status.ts
@@ -1,7 +1,7 @@
-/** What a group may conclude from one member's status. */
+/** Rules that apply to the status of a single member. */
 import type {TargetStatus} from '@kelpstep/protocol';
 
-/** The part of a status that confirmation and promotion look at. */
+/** The part of a status that confirmation and promotion depend on. */
 export type MemberLog = Pick<
   TargetStatus,
   | 'target'
@@ -14,15 +14,15 @@
 >;
 
 /**
- * True if the member counts towards majorities. One that started empty may
- * have forgotten records and fences that it had agreed to, so it counts again
- * only when it has caught up with its primary.
+ * True if the member's state allows it to count towards a majority. A member
+ * that restarted empty may have lost records and fences that it had
+ * acknowledged, so it counts again only after catching up with its primary.
  */
-export function isVoter(log: MemberLog): boolean {
+export function canVote(log: MemberLog): boolean {
   return log.end.position > 0 && log.catchingUp !== true;
 }
 
-/** The status of the primary of the highest term, if one is among them. */
+/** Returns the primary with the highest term, if any status is a primary's. */
 export function findPrimary<L extends MemberLog>(
   logs: readonly L[],
 ): L | undefined {
--- a/packages/failover/src/member_views.ts
+++ b/packages/failover/src/member_views.ts
@@ -1,11 +1,11 @@
-/** What the request path is told about members. */
+/** Derives the members' part of a `GroupView` from a group's state. */
 import {EMPTY_LOG_END, LogPosition, logContains} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {GroupState} from './group_state';
 import type {MemberView} from './group_view';
 
-/** All members of the group, heard or not. */
+/** Describes all members, including those without a status. */
 export function describeMembers(
   state: GroupState,
   isLeaving: (memberId: string) => boolean,
@@ -15,28 +15,28 @@
     const status = link?.status();
     const end = status?.end ?? EMPTY_LOG_END;
     const history = status?.history ?? [];
-    const isHeard = status !== undefined;
+    const hasStatus = status !== undefined;
     return {
       member,
       reachable: link?.condition() === 'open',
       role: status?.role,
       end,
       history,
-      freshAt: isHeard ? state.freshness.freshAt(end, history) : undefined,
+      freshAt: hasStatus ? state.freshness.freshAt(end, history) : undefined,
       leaving: isLeaving(member.id),
     };
   });
 }
 
-/** True if the member's log holds the record, as it last told. */
+/** True if the member's log, as last reported, holds the record. */
 export function holds(
   state: GroupState,
   memberId: string,
-  wanted: LogPosition,
+  record: LogPosition,
 ): boolean {
   const status = state.link(memberId)?.status();
   return (
-    status !== undefined && logContains(status.history, status.end, wanted)
+    status !== undefined && logContains(status.history, status.end, record)
   );
 }
 
--- a/packages/failover/src/membership_change.ts
+++ b/packages/failover/src/membership_change.ts
@@ -1,4 +1,4 @@
-/** Which change of a group's configuration is due, by what its members told. */
+/** Decides from the members' statuses which configuration change is due. */
 import {
   Configuration,
   LogPosition,
@@ -6,17 +6,17 @@
   TargetStatus,
 } from '@kelpstep/protocol';
 
-import {electorateOf} from './electorate';
 import {isSameDatabase} from './group_members';
 import type {Leadership} from './group_view';
-import {isVoter} from './member_status';
+import {canVote} from './member_status';
+import {votersOf} from './voters';
 
-/** A member as configurations name it. */
+/** A member as listed in a configuration. */
 export type ConfiguredMember = Configuration['members'][number];
 
-/** What a change depends on. */
-export interface ChangeInput {
-  /** The newest configuration seen. */
+/** Input of `nextConfiguration`. */
+export interface MembershipChangeInput {
+  /** The newest known configuration. */
   readonly configuration: LoggedConfiguration;
   /** The members of the manifest in force, and its version. */
   readonly wanted: readonly ConfiguredMember[];
@@ -24,72 +24,85 @@
   readonly leadership: Leadership;
   /** The highest confirmed record. */
   readonly confirmed: LogPosition;
-  /** Statuses of the members whose streams are heard. */
+  /** Statuses of the reachable members. */
   readonly statuses: readonly TargetStatus[];
-  /** Records that a member may lack to count as caught up. */
+  /** Number of records that a caught-up member may be missing. */
   readonly catchUpRecords: number;
 }
 
 /**
- * The next configuration on the way to what is wanted: one member more or
- * less, members first that are added. Undefined if nothing is due.
+ * Returns the next configuration on the way to the wanted members, or
+ * `undefined` if no change is due or possible yet. It differs from the present
+ * one by a single member; additions come before removals.
  *
- * The term's barrier and the present configuration have to be confirmed: then
- * no two configurations that differ by more than one member are ever in use.
+ * A change requires that the term's barrier and the present configuration are
+ * confirmed. Configurations that are in use at the same time therefore differ
+ * by at most one member, so that their majorities overlap.
  */
 export function nextConfiguration(
-  input: ChangeInput,
+  input: MembershipChangeInput,
 ): Configuration | undefined {
   const {configuration, manifestVersion} = input;
   if (!isConfirmed(input) || manifestVersion < configuration.version) {
     return undefined;
   }
-  const fit = input.statuses.filter(status => isFit(status, input));
-  const ids = new Set(fit.map(({target}) => target));
-  const change = [...additions(input, ids), ...removals(input, ids)].find(
-    members => hasMajority(members, ids),
-  );
-  return change && {version: manifestVersion, members: change};
+  const caughtUp = input.statuses.filter(status => isCaughtUp(status, input));
+  const caughtUpIds = new Set(caughtUp.map(({target}) => target));
+  const nextMembers = [
+    ...additions(input, caughtUpIds),
+    ...removals(input, caughtUpIds),
+  ].find(members => hasMajority(members, caughtUpIds));
+  return nextMembers && {version: manifestVersion, members: nextMembers};
 }
 
 function isConfirmed({
   configuration,
   confirmed,
   leadership,
-}: ChangeInput): boolean {
+}: MembershipChangeInput): boolean {
   return (
     confirmed.term === leadership.term &&
     confirmed.position >= configuration.at.position
   );
 }
 
-/** True if the member holds about all that the primary does, in its term. */
-function isFit(status: TargetStatus, input: ChangeInput): boolean {
+/** True if the member follows the primary's term closely enough to vote. */
+function isCaughtUp(
+  status: TargetStatus,
+  input: MembershipChangeInput,
+): boolean {
   const {term, primary} = input.leadership;
   const leader = input.statuses.find(({target}) => target === primary);
-  const goal = (leader?.end.position ?? Infinity) - input.catchUpRecords;
+  const requiredPosition =
+    (leader?.end.position ?? Infinity) - input.catchUpRecords;
   return (
-    isVoter(status) &&
+    canVote(status) &&
     status.term === term &&
     status.end.term === term &&
-    status.end.position >= goal
+    status.end.position >= requiredPosition
   );
 }
 
 function additions(
-  {configuration, wanted}: ChangeInput,
-  fit: ReadonlySet<string>,
+  {configuration, wanted}: MembershipChangeInput,
+  caughtUpIds: ReadonlySet<string>,
 ): ConfiguredMember[][] {
   const {members} = configuration;
   return wanted
-    .filter(({id}) => fit.has(id) && !members.some(each => each.id === id))
+    .filter(
+      ({id}) => caughtUpIds.has(id) && !members.some(each => each.id === id),
+    )
     .map(({id, address}) => [...members, {id, address}]);
 }
 
-/** A group never gets smaller than wanted, and no primary is removed. */
+/**
+ * Lists the configurations with one unwanted member less. Members that have
+ * not caught up are removed first. The primary is never removed, and a removal
+ * leaves no fewer members than wanted, unless a member's address has changed.
+ */
 function removals(
-  {configuration, wanted, leadership}: ChangeInput,
-  fit: ReadonlySet<string>,
+  {configuration, wanted, leadership}: MembershipChangeInput,
+  caughtUpIds: ReadonlySet<string>,
 ): ConfiguredMember[][] {
   const {members} = configuration;
   const unwanted = members.filter(
@@ -100,14 +113,17 @@
         wanted.some(({id}) => id === member.id)),
   );
   return unwanted
-    .sort((left, right) => Number(fit.has(left.id)) - Number(fit.has(right.id)))
+    .sort(
+      (left, right) =>
+        Number(caughtUpIds.has(left.id)) - Number(caughtUpIds.has(right.id)),
+    )
     .map(({id}) => members.filter(member => member.id !== id));
 }
 
 function hasMajority(
   members: readonly ConfiguredMember[],
-  fit: ReadonlySet<string>,
+  caughtUpIds: ReadonlySet<string>,
 ): boolean {
-  const {majority} = electorateOf({configuration: {version: 0, members}}, 0);
-  return members.filter(({id}) => fit.has(id)).length >= majority;
+  const {majority} = votersOf({configuration: {version: 0, members}}, 0);
+  return members.filter(({id}) => caughtUpIds.has(id)).length >= majority;
 }
--- a/packages/failover/src/ordered_switch_over.ts
+++ b/packages/failover/src/operator_switch_over.ts
@@ -1,20 +1,20 @@
-/** A switch-over by an operator's order. */
+/** Carries out a switch-over requested by an operator. */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Task, sleep} from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
 
+import type {LeadershipChange} from './failure_detector';
 import type {PromotionContext} from './promotion';
 import {SwitchOverRequest, findSuccessor, switchOver} from './switch_over';
-import type {LeadershipChange} from './watcher';
 
-/** Waits for a successor close enough, then moves the leadership to it. */
-export function* runOrderedSwitchOver(
+/** Waits for a successor to catch up, then moves the leadership to it. */
+export function* runOperatorSwitchOver(
   context: PromotionContext,
   isLeaving: (memberId: string) => boolean,
   successor: string | undefined,
 ): Task<Result<LeadershipChange, Failure>> {
   const {state, timings, runtime} = context;
-  const deadline = runtime.timer.now() + timings.catchUpLimit;
+  const deadline = runtime.timer.now() + timings.catchUpTimeout;
   for (;;) {
     const from = state.leadership();
     const request = from && {from, isLeaving, successor};
@@ -24,7 +24,7 @@
     if (runtime.timer.now() >= deadline) {
       return refuse('No member can take over.');
     }
-    yield* sleep(timings.watchPeriod);
+    yield* sleep(timings.monitorInterval);
   }
 }
 
--- /dev/null
+++ b/packages/failover/src/probe_schedule.ts
@@ -0,0 +1,70 @@
+/** Decides which members of a group are probed instead of streaming. */
+import type {Milliseconds} from '@kelpstep/runtime';
+
+import type {GroupState} from './group_state';
+import type {ProbeIntervalPolicy} from './probe_intervals';
+
+/** The probe intervals of a group's members. */
+export interface ProbeSchedule {
+  /** Probe interval of a member; `undefined` if its status is streamed. */
+  intervalOf(memberId: string): Milliseconds | undefined;
+  /** Applies the intervals to all control connections. */
+  apply(): void;
+  /** Resumes the streams immediately if the group is no longer stable. */
+  applyIfUnsettled(): void;
+}
+
+/** Options of `createProbeSchedule`. */
+export interface ProbeScheduleOptions {
+  readonly state: GroupState;
+  isInUse(): boolean;
+  isLeaving(memberId: string): boolean;
+  /** Failure detector's rank; `undefined` if this proxy runs none. */
+  watchRank(): number | undefined;
+  readonly probeIntervalPolicy: ProbeIntervalPolicy;
+  /** Number of groups in the manifest. */
+  groupCount(): number;
+}
+
+/** Creates the probe schedule of a group. */
+export function createProbeSchedule(
+  options: ProbeScheduleOptions,
+): ProbeSchedule {
+  const {state, isInUse, isLeaving} = options;
+
+  /**
+   * True if the primary is reachable and not leaving. Otherwise it may have to
+   * be replaced, which needs the status streams.
+   */
+  function isSettled(primary: string): boolean {
+    return state.link(primary)?.condition() === 'open' && !isLeaving(primary);
+  }
+
+  function intervalOf(memberId: string): Milliseconds | undefined {
+    const primary = state.leadership()?.primary;
+    if (primary === undefined || isInUse() || !isSettled(primary)) {
+      return undefined;
+    }
+    const rank = options.watchRank();
+    if (rank === undefined) {
+      return undefined;
+    }
+    const intervals = options.probeIntervalPolicy(options.groupCount(), rank);
+    return memberId === primary ? intervals?.primary : intervals?.replica;
+  }
+
+  function apply(): void {
+    state.links().forEach(link => link.applyProbeInterval());
+  }
+
+  return {
+    intervalOf,
+    apply,
+    applyIfUnsettled() {
+      const primary = state.lastLeadership()?.primary ?? '';
+      if (intervalOf(primary) === undefined) {
+        apply();
+      }
+    },
+  };
+}
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -1,8 +1,9 @@
 /**
  * Gives a group a new primary: fences a majority at a new term, promotes the
- * best of the fenced, makes the others follow and waits for the barrier. Every
- * step names its term, so a promoter that was paused anywhere finds its late
- * steps refused once another has fenced a higher term.
+ * best fenced member, makes the others follow and waits for the barrier to be
+ * confirmed. Every request carries the term. If a promoter is suspended at any
+ * point, members refuse its late requests once another promoter has fenced
+ * them at a higher term.
  */
 import {
   Configuration,
@@ -20,26 +21,26 @@
   waitFor,
 } from '@kelpstep/runtime';
 
-import {askMembers, resultsOf} from './ask_members';
+import {chooseCandidate} from './candidate_selection';
+import type {ProblemKind} from './group_problem';
 import type {GroupState} from './group_state';
 import type {Confirmation} from './group_view';
-import {chooseCandidate} from './promotion_choice';
-import type {ProblemKind} from './situation';
+import {requestFromMembers, resultsOf} from './member_requests';
 import {nextTerm} from './terms';
 import type {FailoverTimings} from './timings';
 
-/** Why a promotion was tried. */
+/** The reason for a promotion. */
 export type PromotionCause = ProblemKind | 'switch_over';
 
-/** How long the steps of a promotion took. */
+/** Durations of a promotion's steps. */
 export interface PromotionDurations {
   readonly fence: Milliseconds;
   readonly promote: Milliseconds;
-  /** From the promotion until the barrier was on a majority. */
+  /** From the promotion until a majority held the barrier. */
   readonly barrier: Milliseconds;
 }
 
-/** How a promotion ended. */
+/** Result of a promotion. */
 export type PromotionOutcome =
   | {
       readonly kind: 'promoted';
@@ -47,33 +48,36 @@
       readonly primary: string;
       readonly durations: PromotionDurations;
     }
-  /** The barrier did not reach a majority in time; it still may. */
+  /** The barrier did not reach a majority in time, but may do so later. */
   | {readonly kind: 'unconfirmed'}
   /** Too few members were fenced. */
   | {readonly kind: 'no_majority'}
-  /** Somebody has fenced a higher term. */
+  /** Another promoter has fenced a higher term. */
   | {readonly kind: 'overtaken'}
-  /** The candidate did not answer; nobody else may be promoted at the term. */
+  /** The candidate did not answer; no other may be promoted at the term. */
   | {readonly kind: 'candidate_lost'};
 
-/** What promotions use. */
+/** Dependencies of promotions and switch-overs. */
 export interface PromotionContext {
   readonly runtime: Runtime;
   readonly timings: FailoverTimings;
   readonly state: GroupState;
-  /** 0 to 65535, different for each promoter. */
+  /** 0 to 65535, see `promoterNumberOf`. */
   readonly promoterNumber: number;
-  /** Decides between equal logs: the lower number goes first. */
+  /** Decides between candidates with equal logs; the lowest cost wins. */
   cost(memberId: string): number;
 }
 
-/** Members to pass over if a majority remains without them. */
-export type Avoidance = (memberId: string) => boolean;
+/** Selects members by id. */
+export type MemberPredicate = (memberId: string) => boolean;
 
-/** Runs one promotion from fence to barrier. */
+/**
+ * Runs one promotion from fence to barrier. Members for which `isAvoided` is
+ * true are promoted only if the other fenced members allow no safe choice.
+ */
 export function* promote(
   context: PromotionContext,
-  isAvoided: Avoidance,
+  isAvoided: MemberPredicate,
 ): Task<PromotionOutcome> {
   const {state, runtime, promoterNumber} = context;
   const {timer} = runtime;
@@ -101,10 +105,14 @@
   }
 
   const barrierStart = timer.now();
-  orderToFollow(context, candidate.target, term);
-  const fate = yield* waitForBarrier(context, candidate.target, barrier);
-  if (fate !== 'confirmed') {
-    return {kind: fate === 'superseded' ? 'overtaken' : 'unconfirmed'};
+  sendFollowRequests(context, candidate.target, term);
+  const confirmation = yield* waitForBarrier(
+    context,
+    candidate.target,
+    barrier,
+  );
+  if (confirmation !== 'confirmed') {
+    return {kind: confirmation === 'superseded' ? 'overtaken' : 'unconfirmed'};
   }
   return {
     kind: 'promoted',
@@ -122,7 +130,7 @@
   {runtime, timings, state}: PromotionContext,
   term: number,
 ): Task<TargetStatus[] | 'overtaken'> {
-  const replies = yield* askMembers(
+  const replies = yield* requestFromMembers(
     runtime.timer,
     state.links(),
     targetFence,
@@ -139,7 +147,7 @@
   return overtaken ? 'overtaken' : resultsOf(replies);
 }
 
-/** The barrier's position, or undefined if the promotion is not certain. */
+/** Returns the barrier's position, or `undefined` if promotion is uncertain. */
 function* promoteCandidate(
   {timings, state}: PromotionContext,
   candidate: string,
@@ -156,14 +164,14 @@
   if (promoted.ok) {
     return promoted.val.at;
   }
-  // The answer may have been lost after the effect.
-  const status = yield* waitFor(link.ask(timings.requestTimeout));
-  const leads =
+  // The answer may have been lost after the promotion took effect.
+  const status = yield* waitFor(link.probe(timings.requestTimeout));
+  const isPrimary =
     status.ok && status.val.role === 'primary' && status.val.term === term;
-  return leads ? status.val.end : undefined;
+  return isPrimary ? status.val.end : undefined;
 }
 
-/** What the manifest wants: it counts if no log has a configuration yet. */
+/** The manifest's members, used by the target if its log has none. */
 function initialConfiguration({members}: GroupState): Configuration {
   return {
     version: members.manifestVersion(),
@@ -171,7 +179,7 @@
   };
 }
 
-/** Waits for the barrier's majority, unless its primary is lost as well. */
+/** Waits for the barrier to be confirmed; stops if its primary is lost. */
 function* waitForBarrier(
   {runtime, timings, state}: PromotionContext,
   primary: string,
@@ -180,9 +188,9 @@
   const deadline = runtime.timer.now() + timings.barrierTimeout;
   const pending = state.waiters.wait(barrier, deadline);
   for (;;) {
-    const fate = yield* waitAtMost(pending, timings.watchPeriod);
-    if (fate !== undefined) {
-      return fate;
+    const confirmation = yield* waitAtMost(pending, timings.monitorInterval);
+    if (confirmation !== undefined) {
+      return confirmation;
     }
     if (state.link(primary)?.condition() === 'lost') {
       return 'undecided';
@@ -190,8 +198,8 @@
   }
 }
 
-/** Orders that are lost here are repeated by the watchers' reconciliation. */
-function orderToFollow(
+/** Failed requests are not retried here; the reconciler repeats them. */
+function sendFollowRequests(
   {timings, state}: PromotionContext,
   primary: string,
   term: number,
--- a/packages/failover/src/read_rounds.ts
+++ b/packages/failover/src/read_rounds.ts
@@ -1,6 +1,6 @@
 /**
- * Rounds of status questions. Each is shared by all reads that wait when it
- * starts, and several may be on their way at a time.
+ * Runs rounds of status probes. A round serves all reads that are waiting when
+ * it starts. Rounds may overlap.
  */
 import type {LogPosition, TargetStatus} from '@kelpstep/protocol';
 import type {RequestFailure} from '@kelpstep/rpc';
@@ -21,26 +21,29 @@
 import {RoundResult, evaluateRound} from './round_result';
 import type {FailoverTimings} from './timings';
 
-/** Starts rounds and hands out their results. */
+/** Starts rounds and distributes their results. */
 export interface ReadRounds {
-  /** A barrier of a round that starts after this call. */
+  /**
+   * Settles with the result of a round that starts after this call, or with
+   * `undefined` at the monotonic deadline.
+   */
   barrier(deadline: Milliseconds): Future<LogPosition | undefined>;
-  /** Starts a round although no read waits. */
+  /** Starts a round even if no read is waiting. */
   refresh(): void;
-  /** Monotonic time of the questions of the last round that succeeded. */
-  lastSuccessAskedAt(): Milliseconds;
-  /** Starts no more rounds; who waits gets `undefined` at its deadline. */
+  /** Monotonic time of the probes of the last successful round. */
+  lastSuccessProbedAt(): Milliseconds;
+  /** Cancels a scheduled round; waiting reads end at their deadlines. */
   close(): void;
 }
 
-/** What rounds are made of. */
+/** Options of `createReadRounds`. */
 export interface ReadRoundsOptions {
   readonly runtime: Runtime;
   readonly timings: FailoverTimings;
   links(): readonly MemberLink[];
   groupSize(): number;
-  /** Called for each round that succeeded. */
-  onSuccess(result: RoundResult, askedAt: Milliseconds): void;
+  /** Called for each successful round. */
+  onSuccess(result: RoundResult, probedAt: Milliseconds): void;
 }
 
 interface Waiter {
@@ -50,14 +53,14 @@
 
 type Answer = Result<TargetStatus, RequestFailure>;
 
-/** Creates the rounds of a group; none runs until one is wanted. */
+/** Creates the rounds of a group; none starts until one is requested. */
 export function createReadRounds(options: ReadRoundsOptions): ReadRounds {
   const {runtime, timings} = options;
   const {timer} = runtime;
   let waiting = new Set<Waiter>();
   let cancelStart: Unsubscribe | undefined;
   let lastStart = -Infinity;
-  let lastSuccessAskedAt = -Infinity;
+  let lastSuccessProbedAt = -Infinity;
 
   function barrier(deadline: Milliseconds): Future<LogPosition | undefined> {
     const deferred = createDeferred<LogPosition | undefined>();
@@ -67,7 +70,7 @@
     });
     const waiter: Waiter = {deferred, cancelDeadline};
     waiting.add(waiter);
-    schedule(lastStart + timings.roundSpacing - timer.now());
+    schedule(lastStart + timings.minimumRoundInterval - timer.now());
     return deferred.future;
   }
 
@@ -93,30 +96,30 @@
   }
 
   function* runRound(waiters: ReadonlySet<Waiter>): Task<void> {
-    const askedAt = timer.now();
-    const result = yield* askAll(askedAt + timings.requestTimeout);
+    const probedAt = timer.now();
+    const result = yield* probeAll(probedAt + timings.requestTimeout);
     if (result === undefined) {
-      waitOn(waiters);
+      requeue(waiters);
       return;
     }
-    lastSuccessAskedAt = Math.max(lastSuccessAskedAt, askedAt);
-    options.onSuccess(result, askedAt);
+    lastSuccessProbedAt = Math.max(lastSuccessProbedAt, probedAt);
+    options.onSuccess(result, probedAt);
     for (const {deferred, cancelDeadline} of waiters) {
       cancelDeadline();
       deferred.settle(result.end);
     }
   }
 
-  function* askAll(deadline: Milliseconds): Task<RoundResult | undefined> {
+  function* probeAll(deadline: Milliseconds): Task<RoundResult | undefined> {
     const answers: TargetStatus[] = [];
     const mailbox = createMailbox<Answer>();
     const links = options.links();
     for (const link of links) {
       link
-        .ask(timings.requestTimeout)
+        .probe(timings.requestTimeout)
         .onSettled(answer => mailbox.post(answer));
     }
-    for (let open = links.length; open > 0; open--) {
+    for (let remaining = links.length; remaining > 0; remaining--) {
       const answer = yield* receiveAtMost(mailbox, deadline - timer.now());
       if (answer === undefined) {
         return undefined;
@@ -132,21 +135,22 @@
     return undefined;
   }
 
-  /** Those whose round failed join the next one, if they still wait. */
-  function waitOn(waiters: ReadonlySet<Waiter>): void {
-    const left = [...waiters].filter(
+  /** Adds the reads of a failed round that still wait to the next round. */
+  function requeue(waiters: ReadonlySet<Waiter>): void {
+    const pending = [...waiters].filter(
       waiter => !waiter.deferred.future.isSettled(),
     );
-    left.forEach(waiter => waiting.add(waiter));
-    if (left.length > 0) {
-      schedule(timings.roundRetry);
+    pending.forEach(waiter => waiting.add(waiter));
+    if (pending.length > 0) {
+      schedule(timings.roundBackoff);
     }
   }
 
   return {
     barrier,
-    refresh: () => schedule(lastStart + timings.roundSpacing - timer.now()),
-    lastSuccessAskedAt: () => lastSuccessAskedAt,
+    refresh: () =>
+      schedule(lastStart + timings.minimumRoundInterval - timer.now()),
+    lastSuccessProbedAt: () => lastSuccessProbedAt,
     close() {
       cancelStart?.();
       cancelStart = undefined;
--- a/packages/failover/src/reconciliation.ts
+++ b/packages/failover/src/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Tells members that don't follow the present primary to do so. */
+/** Makes members follow the present primary. */
 import {TargetStatus, targetFollow} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
@@ -7,35 +7,36 @@
 import {findPrimary} from './member_status';
 import type {PromotionContext} from './promotion';
 
-/** A member as the reconciliation sees it. */
+/** A reachable member. */
 export interface Follower {
   readonly id: string;
   readonly status: TargetStatus;
-  /** Monotonic time at which its process was first seen. */
+  /** Monotonic time at which the member's present process was first seen. */
   readonly incarnationSince: Milliseconds;
 }
 
 /**
- * Members that don't follow the primary in its term: a returned former
- * primary, a restarted replica, a new member.
+ * Returns the members that may and should be made to follow the primary in its
+ * term, such as a former primary, a restarted replica or a new member.
  *
- * One that is empty may have forgotten a fence of a higher term. So unless it
- * is bound to the present term it is admitted only after a majority of others
- * answered that term since its process appeared: `majorityAskedAt` is when
- * the last such round was sent (empty members don't count in rounds).
+ * An empty member may have lost a fence at a higher term. Unless it is at the
+ * present term already, it is admitted only after a majority of the others has
+ * answered in that term since the member's process was first seen.
+ * `majorityProbedAt` is the time of the probes of the last such round. Empty
+ * members don't count in rounds.
  */
-export function findStrays(
+export function findDetachedMembers(
   followers: readonly Follower[],
   leadership: Leadership,
   address: string,
-  majorityAskedAt: Milliseconds,
+  majorityProbedAt: Milliseconds,
 ): string[] {
   return followers
     .filter(({id, status, incarnationSince}) => {
       const admitted =
         status.end.position > 0 ||
         status.term === leadership.term ||
-        majorityAskedAt >= incarnationSince;
+        majorityProbedAt >= incarnationSince;
       return (
         id !== leadership.primary &&
         admitted &&
@@ -50,51 +51,51 @@
   {term}: Leadership,
   address: string,
 ): boolean {
-  // A higher term refuses the order; only a new promotion mends that.
+  // A member at a higher term would refuse; it needs a new promotion.
   return (
     status.term > term || (status.term === term && status.following === address)
   );
 }
 
-/** Repeats orders to follow until they are obeyed. */
+/** Repeats requests to follow until the members do so. */
 export interface Reconciler {
-  /** Orders what is due; watchers of a higher rank hold back for a while. */
-  bringBackStrays(rank: number): void;
+  /** Sends the requests that are due, later at a higher rank. */
+  reattachMembers(rank: number): void;
 }
 
-/** Creates a reconciler; `majorityAskedAt` is described at `findStrays`. */
+/** Creates a reconciler; `findDetachedMembers` explains `majorityProbedAt`. */
 export function createReconciler(
   {state, timings, runtime}: PromotionContext,
-  majorityAskedAt: () => Milliseconds,
+  majorityProbedAt: () => Milliseconds,
 ): Reconciler {
   const {timer} = runtime;
-  const strayingSince = new Map<string, Milliseconds>();
-  const orderedAt = new Map<string, Milliseconds>();
+  const detachedSince = new Map<string, Milliseconds>();
+  const requestedAt = new Map<string, Milliseconds>();
 
-  function bringBackStrays(rank: number): void {
-    const followers = state.links().flatMap(describeFollower);
-    const leadership = presentPrimary(followers);
+  function reattachMembers(rank: number): void {
+    const followers = state.links().flatMap(toFollower);
+    const leadership = currentPrimary(followers);
     const address = state.link(leadership?.primary ?? '')?.member.address;
     if (leadership === undefined || address === undefined) {
       return;
     }
-    const strays = new Set(
-      findStrays(followers, leadership, address, majorityAskedAt()),
+    const detachedIds = new Set(
+      findDetachedMembers(followers, leadership, address, majorityProbedAt()),
     );
     for (const link of state.links()) {
-      if (!strays.has(link.member.id)) {
-        strayingSince.delete(link.member.id);
+      if (!detachedIds.has(link.member.id)) {
+        detachedSince.delete(link.member.id);
       } else if (isDue(link.member.id, rank)) {
-        order(link, leadership.term, address);
+        requestFollow(link, leadership.term, address);
       }
     }
   }
 
   /**
-   * The primary of the highest term, its barrier confirmed or not: members
-   * that nobody told to follow may be what the barrier waits for.
+   * Returns the primary of the highest term, whether or not its barrier is
+   * confirmed: the barrier may need the members that don't follow yet.
    */
-  function presentPrimary(
+  function currentPrimary(
     followers: readonly Follower[],
   ): Leadership | undefined {
     const primary = findPrimary(followers.map(({status}) => status));
@@ -105,24 +106,28 @@
   }
 
   function isDue(memberId: string, rank: number): boolean {
-    const since = strayingSince.get(memberId) ?? timer.now();
-    strayingSince.set(memberId, since);
-    const last = orderedAt.get(memberId) ?? -Infinity;
+    const since = detachedSince.get(memberId) ?? timer.now();
+    detachedSince.set(memberId, since);
+    const last = requestedAt.get(memberId) ?? -Infinity;
     return (
       timer.now() - since >= rank * timings.rankDelay &&
-      timer.now() - last >= timings.followSpacing
+      timer.now() - last >= timings.followInterval
     );
   }
 
-  function order(link: MemberLink, term: number, primary: string): void {
-    orderedAt.set(link.member.id, timer.now());
+  function requestFollow(
+    link: MemberLink,
+    term: number,
+    primary: string,
+  ): void {
+    requestedAt.set(link.member.id, timer.now());
     link.request(targetFollow, {term, primary}, timings.requestTimeout);
   }
 
-  return {bringBackStrays};
+  return {reattachMembers};
 }
 
-function describeFollower(link: MemberLink): Follower[] {
+function toFollower(link: MemberLink): Follower[] {
   const status = link.status();
   if (link.condition() !== 'open' || status === undefined) {
     return [];
--- a/packages/failover/src/reconfiguration.ts
+++ b/packages/failover/src/reconfiguration.ts
@@ -1,20 +1,20 @@
-/** Carries out changes of members that the manifest wants, one at a time. */
+/** Changes a group's configuration to the manifest's members, step by step. */
 import {TargetStatus, targetReconfigure} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import {nextConfiguration} from './membership_change';
 import type {PromotionContext} from './promotion';
 
-/** Asks the primary for changes until none is due. */
+/** Requests configuration changes from the primary until none is due. */
 export interface Reconfigurer {
-  /** Asks for what is due; watchers of a higher rank hold back for a while. */
+  /** Requests the change that is due, later at a higher rank. */
   changeMembers(rank: number): void;
 }
 
 /**
- * Creates a reconfigurer. A request may be lost, late or repeated, and several
- * watchers may ask: the primary takes one only in place of the configuration
- * that whoever asks has seen confirmed.
+ * Creates a reconfigurer. Requests may be lost, delayed, repeated or sent by
+ * several proxies. This is safe because each names the confirmed configuration
+ * that it replaces, and the primary accepts it only while that one is current.
  */
 export function createReconfigurer({
   runtime,
@@ -23,7 +23,7 @@
 }: PromotionContext): Reconfigurer {
   const {timer} = runtime;
   let dueSince: Milliseconds | undefined;
-  let askedAt = -Infinity;
+  let requestedAt = -Infinity;
 
   function changeMembers(rank: number): void {
     const configuration = state.members.configuration();
@@ -38,7 +38,7 @@
       wanted: state.members.group().members,
       manifestVersion: state.members.manifestVersion(),
       confirmed: state.confirmed().at,
-      statuses: heardStatuses(),
+      statuses: reachableStatuses(),
       catchUpRecords: timings.catchUpRecords,
     });
     if (next === undefined) {
@@ -47,15 +47,15 @@
     }
     dueSince ??= timer.now();
     const due = dueSince + rank * timings.rankDelay;
-    if (timer.now() >= Math.max(due, askedAt + timings.followSpacing)) {
-      askedAt = timer.now();
+    if (timer.now() >= Math.max(due, requestedAt + timings.followInterval)) {
+      requestedAt = timer.now();
       const {term} = leadership;
       const request = {term, replaces: configuration.at, configuration: next};
       primary?.request(targetReconfigure, request, timings.requestTimeout);
     }
   }
 
-  function heardStatuses(): TargetStatus[] {
+  function reachableStatuses(): TargetStatus[] {
     return state.links().flatMap(link => {
       const status = link.status();
       return link.condition() === 'open' && status !== undefined
--- a/packages/failover/src/reconnect_pause.ts
+++ b/packages/failover/src/reconnect_backoff.ts
@@ -1,10 +1,10 @@
-/** How long to wait before a connection is tried again. */
+/** Backoff between attempts to connect to a member. */
 import {type Milliseconds, type Random, retryPause} from '@kelpstep/runtime';
 
 import type {FailoverTimings} from './timings';
 
-/** Doubles with each failure up to the limit, and varies by chance. */
-export function reconnectPause(
+/** Doubles with each failure up to the limit, with random variation. */
+export function reconnectBackoff(
   timings: FailoverTimings,
   failures: number,
   random: Random,
--- a/packages/failover/src/round_result.ts
+++ b/packages/failover/src/round_result.ts
@@ -1,41 +1,39 @@
-/** What a round of status questions to all members proves. */
+/** Evaluates a round of status probes to all members. */
 import type {LogPosition, TargetStatus} from '@kelpstep/protocol';
 
-import {electorateOf} from './electorate';
-import {findPrimary, isVoter} from './member_status';
+import {canVote, findPrimary} from './member_status';
+import {votersOf} from './voters';
 
-/** A round that succeeded. */
+/** Result of a successful round. */
 export interface RoundResult {
   readonly term: number;
   /** Member id of the term's primary. */
   readonly primary: string;
-  /** End of the primary's log as it answered. */
+  /** End of the primary's log when it answered. */
   readonly end: LogPosition;
 }
 
 /**
- * Succeeds if a majority, by the primary's log and with the primary among
- * them, answered its term. Then no
- * later primary had confirmed anything when the questions were sent, and the
- * primary's log holds all that was confirmed until then.
+ * Succeeds if a majority of the voters in the primary's log, and the primary
+ * itself, answered with the primary's term. Then no later primary had
+ * confirmed a record when the probes were sent, and the primary's log holds
+ * every record confirmed until then. Returns `undefined` otherwise.
  */
 export function evaluateRound(
-  answers: readonly TargetStatus[],
+  statuses: readonly TargetStatus[],
   groupSize: number,
 ): RoundResult | undefined {
-  const primary = findPrimary(answers);
-  if (primary === undefined || !isVoter(primary)) {
+  const primary = findPrimary(statuses);
+  if (primary === undefined || !canVote(primary)) {
     return undefined;
   }
   const {term, target, end} = primary;
-  const electorate = electorateOf(primary, groupSize);
-  const inTerm = answers.filter(
-    answer =>
-      isVoter(answer) &&
-      answer.term === term &&
-      electorate.includes(answer.target),
+  const voters = votersOf(primary, groupSize);
+  const inTerm = statuses.filter(
+    status =>
+      canVote(status) && status.term === term && voters.includes(status.target),
   );
-  return inTerm.length >= electorate.majority
+  return inTerm.length >= voters.majority
     ? {term, primary: target, end}
     : undefined;
 }
--- a/packages/failover/src/switch_over.ts
+++ b/packages/failover/src/switch_over.ts
@@ -1,31 +1,32 @@
 /**
- * Planned change of primary: pause writes, let the successor reach the end of
- * the log, then promote it. The gap is a few round trips.
+ * Planned change of primary: pauses writes, waits until the successor has
+ * reached the end of the log, then promotes it. Writes stop for a few round
+ * trips only.
  */
 import {TargetStatus, logContains, targetPauseWrites} from '@kelpstep/protocol';
 import {Task, createDeferred, waitAtMost, waitFor} from '@kelpstep/runtime';
 
 import type {Leadership} from './group_view';
 import type {MemberLink} from './member_link';
-import {isVoter} from './member_status';
+import {canVote} from './member_status';
 import {PromotionContext, PromotionOutcome, promote} from './promotion';
 
-/** How a switch-over ended. */
+/** Result of a switch-over. */
 export type SwitchOverOutcome =
   | PromotionOutcome
-  /** No other member may take over, or none is close enough. */
+  /** No eligible member has caught up closely enough. */
   | {readonly kind: 'no_successor'}
   /** The primary did not pause its writes. */
   | {readonly kind: 'not_paused'}
-  /** The successor did not reach the end; the pause lapses by itself. */
+  /** The successor did not reach the end in time; the pause expires. */
   | {readonly kind: 'successor_late'};
 
-/** What a switch-over is asked to do. */
+/** Parameters of a switch-over. */
 export interface SwitchOverRequest {
   readonly from: Leadership;
-  /** Members that must not lead. */
+  /** True for members that must not become primary. */
   isLeaving(memberId: string): boolean;
-  /** Member wanted as successor; the best one by default. */
+  /** Member id of the successor; the best candidate by default. */
   readonly successor?: string | undefined;
 }
 
@@ -52,7 +53,7 @@
     return {kind: 'not_paused'};
   }
   const {end} = paused.val;
-  const reached = yield* waitUntilHeld(context, successor, status =>
+  const reached = yield* waitForStatus(context, successor, status =>
     logContains(status.history, status.end, end),
   );
   if (!reached) {
@@ -79,13 +80,13 @@
   };
 }
 
-/** The member with the least lag, if that is small; undefined if none. */
+/** Returns the caught-up, eligible member with the most records, if any. */
 export function findSuccessor(
   {state, timings, cost}: PromotionContext,
   {from, isLeaving, successor}: SwitchOverRequest,
 ): MemberLink | undefined {
   const end = state.link(from.primary)?.status()?.end.position ?? 0;
-  const electorate = state.members.electorate();
+  const voters = state.members.voters();
   let best: MemberLink | undefined;
   for (const link of state.links()) {
     const status = link.status();
@@ -93,11 +94,11 @@
     const eligible =
       id !== from.primary &&
       !isLeaving(id) &&
-      electorate.includes(id) &&
+      voters.includes(id) &&
       (successor === undefined || id === successor) &&
       link.condition() === 'open' &&
       status !== undefined &&
-      isVoter(status) &&
+      canVote(status) &&
       status.term === from.term &&
       end - status.end.position <= timings.catchUpRecords;
     if (eligible && isBetter(link, best, cost)) {
@@ -122,23 +123,23 @@
   );
 }
 
-/** Waits for the member's stream to show what is wanted. */
-function* waitUntilHeld(
+/** Waits until a member's status matches; returns false on timeout. */
+function* waitForStatus(
   {state, timings}: PromotionContext,
   link: MemberLink,
-  isEnough: (status: TargetStatus) => boolean,
+  matches: (status: TargetStatus) => boolean,
 ): Task<boolean> {
   const reached = createDeferred<true>();
   function check(): void {
     const status = link.status();
-    if (status !== undefined && isEnough(status)) {
+    if (status !== undefined && matches(status)) {
       reached.settle(true);
     }
   }
   const unsubscribe = state.onChange(check);
   try {
     check();
-    const result = yield* waitAtMost(reached.future, timings.successorWait);
+    const result = yield* waitAtMost(reached.future, timings.successorTimeout);
     return result === true;
   } finally {
     unsubscribe();
--- a/packages/failover/src/timings.ts
+++ b/packages/failover/src/timings.ts
@@ -1,96 +1,99 @@
-/** Times of confirmation, failure detection and promotion. */
+/** Times and limits of confirmation, failure detection and promotion. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** All times in milliseconds. */
+/** All times are in milliseconds. */
 export interface FailoverTimings {
-  /** Period at which an idle target repeats its status. */
+  /** Interval at which an idle target repeats its status on a stream. */
   readonly heartbeat: Milliseconds;
-  /** Silence of a stream after which a fresh connection is tried. */
-  readonly silenceLimit: Milliseconds;
-  /** Time for a fresh connection to be set up and to answer. */
-  readonly freshConnectionTimeout: Milliseconds;
-  /** Pause before the first reconnection; doubles up to the limit below. */
+  /** Time without messages on a stream before a new connection is tried. */
+  readonly streamTimeout: Milliseconds;
+  /** Time for a new connection to be set up and to return a status. */
+  readonly connectionTimeout: Milliseconds;
+  /** Backoff after the first failed connection; doubles up to the limit. */
   readonly reconnectDelay: Milliseconds;
   readonly reconnectDelayLimit: Milliseconds;
-  /** Time for an answer to status, fence, promote, follow and pause. */
+  /** Time for the answer to any request to a member. */
   readonly requestTimeout: Milliseconds;
-  /** Streams of a group close when it was unused for so long. */
-  readonly idleTime: Milliseconds;
+  /** Time after its last use at which a group's streams are closed. */
+  readonly idleTimeout: Milliseconds;
 
-  /** Period of rounds that keep the bounds of replicas' ages young. */
-  readonly roundPeriod: Milliseconds;
-  /** Least time between the starts of two rounds. */
-  readonly roundSpacing: Milliseconds;
-  /** Pause after a round that failed. */
-  readonly roundRetry: Milliseconds;
+  /** Interval of the rounds that update the bounds of replicas' ages. */
+  readonly roundInterval: Milliseconds;
+  /** Shortest time between the starts of two rounds. */
+  readonly minimumRoundInterval: Milliseconds;
+  /** Backoff after a failed round. */
+  readonly roundBackoff: Milliseconds;
 
-  /** Period at which a watcher looks at its group without other cause. */
-  readonly watchPeriod: Milliseconds;
-  /** Additional delay of a watcher per rank, so that watchers seldom duel. */
+  /** Interval at which a failure detector checks its group unprompted. */
+  readonly monitorInterval: Milliseconds;
+  /** Delay per rank, so that failure detectors rarely act concurrently. */
   readonly rankDelay: Milliseconds;
-  /** A replica hears its primary if the last message is not older. */
-  readonly primaryHeardWithin: Milliseconds;
-  /** How long a primary that its replicas hear is left alone. */
-  readonly pathCutLimit: Milliseconds;
-  /** Silence towards replicas that makes a reachable primary isolated. */
+  /** Greatest age of a primary's last message to a replica in contact. */
+  readonly primaryHeartbeatLimit: Milliseconds;
+  /**
+   * Time for which a primary that only this proxy can't reach is not replaced
+   * while its replicas are in contact with it.
+   */
+  readonly pathPartitionLimit: Milliseconds;
+  /** Time without messages to replicas before a primary is isolated. */
   readonly isolationLimit: Milliseconds;
-  /** Time for a replica that was out of reach to hear its primary again. */
-  readonly reunionLimit: Milliseconds;
-  /** How long a group without primary is left to another watcher. */
-  readonly leaderlessPatience: Milliseconds;
-  /** How long a member may be of a higher term than its primary. */
-  readonly splitTermPatience: Milliseconds;
-  /** How long a barrier may lack its majority. */
-  readonly unconfirmedPatience: Milliseconds;
-  /** Mean pause after a promotion that did not succeed. */
+  /** Time for a replica, once reachable again, to reconnect to its primary. */
+  readonly rejoinLimit: Milliseconds;
+  /** Time for which a group may be without a primary. */
+  readonly leaderlessTimeout: Milliseconds;
+  /** Time for which a member may be at a higher term than its primary. */
+  readonly splitTermTimeout: Milliseconds;
+  /** Time for which a barrier may lack a majority. */
+  readonly unconfirmedTimeout: Milliseconds;
+  /** Mean backoff after a failed promotion. */
   readonly promotionBackoff: Milliseconds;
-  /** Time for a barrier to reach a majority. */
+  /** Time for a promotion's barrier to reach a majority. */
   readonly barrierTimeout: Milliseconds;
-  /** Least time between two orders to follow, per member. */
-  readonly followSpacing: Milliseconds;
+  /** Shortest time between follow requests to a member, or reconfigurations. */
+  readonly followInterval: Milliseconds;
 
-  /** Time for an operator's switch-over to find a successor close enough. */
-  readonly catchUpLimit: Milliseconds;
-  /** Records that a successor may lack when writes are paused. */
+  /** Time for a successor to catch up before a switch-over. */
+  readonly catchUpTimeout: Milliseconds;
+  /** Number of records that a caught-up member may be missing. */
   readonly catchUpRecords: number;
-  /** How long writes are paused at most during a switch-over. */
+  /** Longest pause of writes during a switch-over. */
   readonly writePause: Milliseconds;
-  /** Time for a successor to reach the paused primary's end. */
-  readonly successorWait: Milliseconds;
-  /** Pause after a switch-over that did not succeed. */
-  readonly switchOverRetry: Milliseconds;
+  /** Time for a successor to reach the end of the paused primary's log. */
+  readonly successorTimeout: Milliseconds;
+  /** Backoff after a failed switch-over. */
+  readonly switchOverBackoff: Milliseconds;
 }
 
-/** Times for groups whose members are some milliseconds apart. */
+/** Defaults, for groups whose members have a latency of a few milliseconds. */
 export const DEFAULT_FAILOVER_TIMINGS: FailoverTimings = {
   heartbeat: 100,
-  silenceLimit: 350,
-  freshConnectionTimeout: 250,
+  streamTimeout: 350,
+  connectionTimeout: 250,
   reconnectDelay: 50,
   reconnectDelayLimit: 250,
   requestTimeout: 250,
-  idleTime: 10_000,
+  idleTimeout: 10_000,
 
-  roundPeriod: 150,
-  roundSpacing: 5,
-  roundRetry: 25,
+  roundInterval: 150,
+  minimumRoundInterval: 5,
+  roundBackoff: 25,
 
-  watchPeriod: 100,
+  monitorInterval: 100,
   rankDelay: 400,
-  primaryHeardWithin: 300,
-  pathCutLimit: 600,
+  primaryHeartbeatLimit: 300,
+  pathPartitionLimit: 600,
   isolationLimit: 900,
-  reunionLimit: 1_500,
-  leaderlessPatience: 300,
-  splitTermPatience: 500,
-  unconfirmedPatience: 2_000,
+  rejoinLimit: 1_500,
+  leaderlessTimeout: 300,
+  splitTermTimeout: 500,
+  unconfirmedTimeout: 2_000,
   promotionBackoff: 200,
   barrierTimeout: 1_500,
-  followSpacing: 200,
+  followInterval: 200,
 
-  catchUpLimit: 5_000,
+  catchUpTimeout: 5_000,
   catchUpRecords: 100,
   writePause: 600,
-  successorWait: 250,
-  switchOverRetry: 1_000,
+  successorTimeout: 250,
+  switchOverBackoff: 1_000,
 };
--- a/packages/failover/src/electorate.ts
+++ b/packages/failover/src/voters.ts
@@ -1,26 +1,26 @@
-/** Which members count towards the majorities of a log. */
+/** Determines which members vote on the records of a log. */
 import type {Configuration} from '@kelpstep/protocol';
 
-/** The least number of members that is a majority. */
+/** Returns the smallest number of members that forms a majority. */
 export function majorityOf(groupSize: number): number {
   return Math.floor(groupSize / 2) + 1;
 }
 
-/** The members that count. */
-export interface Electorate {
+/** The members of a configuration, whose votes form its majorities. */
+export interface Voters {
   readonly size: number;
   readonly majority: number;
   includes(memberId: string): boolean;
 }
 
 /**
- * The electorate of a log: its newest configuration, confirmed or not. A log
- * without one counts all that answer, out of a group of the given size.
+ * Returns the voters of a log's newest configuration, confirmed or not. If the
+ * log has none, every member is a voter and the group has the given size.
  */
-export function electorateOf(
+export function votersOf(
   {configuration}: {readonly configuration?: Configuration | undefined},
   groupSize: number,
-): Electorate {
+): Voters {
   const size = configuration?.members.length ?? groupSize;
   return {
     size,
