--- a/packages/gateway/__tests__/second_attempt.spec.ts
+++ b/packages/gateway/__tests__/hedged_attempt.spec.ts
@@ -11,7 +11,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {awaitWithSecond, createAttemptBudget} from '../src/second_attempt';
+import {awaitWithSecond, createAttemptBudget} from '../src/hedged_attempt';
 
 const PATIENCE: Milliseconds = 280;
 const LONG: Milliseconds = 2000;
--- a/packages/gateway/__tests__/peer_order.spec.ts
+++ b/packages/gateway/__tests__/peer_order.spec.ts
@@ -3,7 +3,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {createPeerLoad} from '../src/relay/peer_load';
+import {createPeerLoad} from '../src/relay/peer_latency';
 import {
   type PeerRank,
   nearestFirst,
--- a/packages/gateway/__tests__/primary_return.spec.ts
+++ b/packages/gateway/__tests__/primary_outage.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {createPrimaryReturn} from '../src/primary_return';
+import {createPrimaryReturn} from '../src/primary_outage';
 
 describe('a primary that is away', () => {
   test('is expected at once while none was ever known', () => {
--- a/packages/gateway/__tests__/transaction_end.spec.ts
+++ b/packages/gateway/__tests__/transaction_failure.spec.ts
@@ -6,7 +6,7 @@
   type SessionStep,
   answerInFailed,
   failTransaction,
-} from '../src/transaction_end';
+} from '../src/transaction_failure';
 
 const READ: SessionStatement = {kind: 'read', item: 'i'};
 const COMMIT: SessionStatement = {kind: 'commit'};
--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -47,9 +47,9 @@
 import type {GatewayConfiguration} from './configuration';
 import {type Gateway, createGateway} from './create_gateway';
 import type {GatewayEvents} from './gateway_events';
+import {createHolders} from './relay/connection_owners';
 import {type Relay, createRelay} from './relay/create_relay';
-import {createHolders} from './relay/holders';
-import type {LeaderCheck} from './relay/leader_check';
+import type {LeaderCheck} from './relay/primary_check';
 
 /** What was decoded, and what had to be left out. */
 export interface Decoded<T> {
--- a/packages/gateway/src/dispatch.ts
+++ b/packages/gateway/src/dispatch.ts
@@ -32,12 +32,12 @@
   kindOf,
   refusalAnswer,
 } from './dispatch_types';
-import {type Place, type PlaceSearch, createPlaceFinder} from './find_place';
+import {type Place, type PlaceSearch, createPlaceFinder} from './select_target';
 import {
   type Attempt,
   awaitWithSecond,
   createAttemptBudget,
-} from './second_attempt';
+} from './hedged_attempt';
 
 /** What dispatch is made of. */
 export interface DispatcherOptions {
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -15,8 +15,8 @@
   type Dispatcher,
   refusalAnswer,
 } from '../dispatch_types';
-import {createAttemptBudget} from '../second_attempt';
-import {type LoadedPeer, createPeerLoad} from './peer_load';
+import {createAttemptBudget} from '../hedged_attempt';
+import {type LoadedPeer, createPeerLoad} from './peer_latency';
 import {
   type PeerRank,
   type ProxyPlace,
--- a/packages/gateway/src/find_place.ts
+++ b/packages/gateway/src/select_target.ts
@@ -8,9 +8,9 @@
 } from '@kelpstep/runtime';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
-import {chooseReader} from './choose_reader';
+import {chooseReader} from './select_read_target';
 import {type Dispatch, kindOf} from './dispatch_types';
-import {type PrimaryState, createPrimaryReturn} from './primary_return';
+import {type PrimaryState, createPrimaryReturn} from './primary_outage';
 
 /** A target, and the position that its log must hold. */
 export interface Place {
--- a/packages/gateway/src/serve_session.ts
+++ b/packages/gateway/src/serve_session.ts
@@ -43,7 +43,7 @@
   answerInFailed,
   failTransaction,
   stateAfterFailure,
-} from './transaction_end';
+} from './transaction_failure';
 
 /** What a session is served with. */
 export interface SessionOptions {
