--- a/packages/gateway/index.ts
+++ b/packages/gateway/index.ts
@@ -1,4 +1,4 @@
-/** Statement sessions of callers, from configuration to answer. */
+/** Serves the statement sessions of callers. */
 export * from './src/caller_connection';
 export * from './src/configuration';
 export * from './src/create_gateway';
--- a/packages/gateway/src/caller_connection.ts
+++ b/packages/gateway/src/caller_connection.ts
@@ -1,24 +1,24 @@
-/** A caller's session connection; an adapter implements it. */
+/** A caller's session connection, implemented by an adapter. */
 import type {Mailbox} from '@kelpstep/runtime';
 import type {CallerRequest, StatementAnswer} from '@kelpstep/statements';
 
-/** What a caller's connection brings. */
+/** Messages that a caller's connection delivers. */
 export type CallerMessage =
   | {readonly kind: 'request'; readonly request: CallerRequest}
-  /** The caller left, or broke the protocol. */
+  /** The caller disconnected or violated the protocol. */
   | {readonly kind: 'closed'}
-  /** The gateway stops: an idle session is to end. */
+  /** The gateway is stopping: an idle session ends. */
   | {readonly kind: 'stop'};
 
-/** A session's connection after its start. */
+/** A caller's connection whose session has started. */
 export interface CallerConnection {
-  /** Name that the caller asked for. */
+  /** Database name that the caller requested. */
   readonly database: string;
-  /** Digest of the key that the caller gave. */
+  /** Digest of the key that the caller presented. */
   readonly keyDigest: string;
   readonly messages: Mailbox<CallerMessage>;
   isClosed(): boolean;
   answer(answer: StatementAnswer): void;
-  /** Ends the connection after what was answered. */
+  /** Closes the connection after the answers that were sent before. */
   close(): void;
 }
--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration in force, as the gateway uses it. */
+/** The configuration that is in force in a gateway. */
 import {
   type AccountDirectory,
   type ClientAccount,
@@ -16,9 +16,9 @@
 import {DEFAULT_RETRY_AFTER, refusalAnswer} from './dispatch_types';
 
 /**
- * What reads must see. `primary`: every commit acknowledged before. `bounded`:
- * those older than the maximum staleness. `readYourWrites`: those, and all of
- * the same session.
+ * Which commits a read must observe. `primary`: all that were acknowledged
+ * before it. `bounded`: all that are older than the maximum staleness.
+ * `readYourWrites`: the same as `bounded`, and all commits of the session.
  */
 export type Freshness = 'primary' | 'bounded' | 'readYourWrites';
 
@@ -27,65 +27,68 @@
   readonly database: string;
   readonly freshness: Freshness;
   readonly group: string;
-  /** Limit for one statement. */
+  /** Timeout of one statement. */
   readonly timeout: Milliseconds;
-  /** Objective for a whole operation. */
+  /** Latency objective of a whole operation. */
   readonly targetLatency: Milliseconds;
   /** 0 is the highest. */
   readonly priority: number;
   readonly maximumStaleness: Milliseconds;
-  /** True: callers need no key. */
+  /** True if callers need no key. */
   readonly isPublic: boolean;
 }
 
-/** A whole configuration. */
+/** Routes, groups and accounts of one configuration version. */
 export interface GatewayConfiguration {
-  /** Rises with each change. */
+  /** Increases with each change. */
   readonly version: number;
   readonly routes: readonly CallerRoute[];
   readonly groups: readonly GroupSettings[];
-  /** Undefined: whoever comes is served. */
+  /** Undefined if callers are served without a key. */
   readonly accounts: readonly ClientAccount[] | undefined;
   /** A transaction that is idle for longer is rolled back. */
   readonly transactionIdle: Milliseconds;
 }
 
-/** What a session asks for, and by which key. */
+/** The database that a session requests and the key that it presents. */
 export interface SessionIdentity {
   readonly database: string;
-  /** Digest of the key that the caller gave. */
+  /** Digest of the key that the caller presented. */
   readonly keyDigest: string;
 }
 
-/** Whether a session may be served now, and as whose. */
+/** Whether a session may be served now, and for which account. */
 export type SessionAdmission =
   | {
       readonly kind: 'admitted';
       readonly route: CallerRoute;
-      /** Undefined where nobody needs a key, or none that was given is known. */
+      /** Undefined if no key is needed and the presented one is unknown. */
       readonly account: ClientAccount | undefined;
     }
   | {readonly kind: 'refused'; readonly answer: StatementAnswer};
 
-/** Holds the newest configuration. */
+/** The newest accepted configuration. */
 export interface ConfigurationKeeper {
   current(): GatewayConfiguration | undefined;
   group(name: string): GroupSettings | undefined;
-  /** An account's quota; undefined if it may ask as much as it likes. */
+  /** An account's quota; undefined if the account is unlimited. */
   limitOf(account: string): VersionedLimit | undefined;
   /** True if any account has a quota; undefined without a configuration. */
   hasLimits(): boolean | undefined;
   /**
-   * Judges a session by the configuration in force. What isn't found is denied
-   * only as long as no configuration can be missing that has it; it is refused
-   * for now otherwise.
+   * Decides whether a session is served. An unknown database or key is denied
+   * if the configuration is current. Otherwise a newer configuration may
+   * contain it, and the session is refused with a time to retry.
    */
   admit(identity: SessionIdentity): SessionAdmission;
-  /** Name of the account that a key stands for; undefined in doubt. */
+  /**
+   * Name of the account that a key belongs to; undefined if the key is unknown
+   * or may have been revoked.
+   */
   trustedHolder(keyDigest: string): string | undefined;
   /** Settles once there is a configuration. */
   readonly first: Future<undefined>;
-  /** Takes a newer one; false for one that isn't. */
+  /** Accepts a configuration; false unless it is newer than the current one. */
   accept(configuration: GatewayConfiguration): boolean;
 }
 
@@ -93,11 +96,11 @@
 const KEYS_OUT_OF_DATE = 'the key may have been taken away';
 const NO_CONFIGURATION = 'no configuration yet';
 
-/** What a keeper is made of. */
+/** Dependencies of the active configuration. */
 export interface ConfigurationKeeperOptions {
-  /** False if a configuration may be missing that is to be in force by now. */
+  /** False if the known configuration may be older than its staleness bound. */
   isCurrent(): boolean;
-  /** False if nobody may be served by a key that may have been taken away. */
+  /** False if keys may have been revoked unnoticed: none is accepted then. */
   mayTrustKeys(): boolean;
 }
 
@@ -109,7 +112,7 @@
   return refuse(refusalAnswer(reason, DEFAULT_RETRY_AFTER));
 }
 
-/** Creates a keeper without a configuration. */
+/** Creates the state before the first configuration. */
 export function createConfigurationKeeper(
   options: ConfigurationKeeperOptions,
 ): ConfigurationKeeper {
--- a/packages/gateway/src/create_gateway.ts
+++ b/packages/gateway/src/create_gateway.ts
@@ -31,7 +31,7 @@
 import type {GatewayEvents} from './gateway_events';
 import {serveSession} from './serve_session';
 
-/** What a gateway is made of. */
+/** Dependencies of a gateway. */
 export interface GatewayOptions {
   readonly runtime: Runtime;
   readonly open: OpenTargetConnection;
@@ -40,69 +40,69 @@
   readonly quota: Pick<Quota, 'take' | 'charge'>;
   readonly events: GatewayEvents;
   groupEvents(group: string): TargetGroupEvents;
-  /** True if this proxy holds connections to the group's targets. */
+  /** True if this proxy is a connection owner of the group. */
   holds(settings: GroupSettings): boolean;
-  /** Proxies that hold some; `Infinity` while that isn't known. */
+  /** Number of the group's connection owners; `Infinity` while unknown. */
   holders(settings: GroupSettings): number;
   isChanging(group: string): boolean;
-  /** False if a configuration may be missing that is to be in force by now. */
+  /** False if the known configuration may be older than its staleness bound. */
   isConfigurationCurrent(): boolean;
-  /** False if nobody may be served by a key that may have been taken away. */
+  /** False if keys may have been revoked unnoticed: none is accepted then. */
   mayTrustKeys(): boolean;
-  /** Called for each new group, to watch its primary until it is let go. */
+  /** Monitors the primary of a new group until the group is released. */
   onGroup(group: TargetGroup): GroupWatch;
-  /** Puts what runs statements elsewhere over what runs them here. */
+  /** Wraps the local dispatcher to also run statements through peers. */
   createRelay(local: LocalDispatcher, isStopping: () => boolean): GatewayRelay;
 }
 
-/** Runs statements here or through other proxies. */
+/** Runs statements locally or through other proxies. */
 export interface GatewayRelay {
   readonly dispatcher: Dispatcher;
-  /** Work of other proxies that is under way here. */
+  /** Number of other proxies' statements and transactions in progress here. */
   pending(): number;
   close(): void;
 }
 
-/** Watches a group's primary. */
+/** Monitors a group's primary. */
 export interface GroupWatch {
   stop(): void;
 }
 
-/** Serves callers at the targets of the list. */
+/** Serves the sessions of callers at the registered targets. */
 export interface Gateway {
   readonly configuration: ConfigurationKeeper;
-  /** Takes a configuration; false for one that isn't newer. */
+  /** Applies a configuration; false unless it is newer than the current one. */
   configure(configuration: GatewayConfiguration): boolean;
-  /** Takes the list of targets. */
+  /** Replaces the list of targets. */
   register(registrations: readonly TargetRegistration[]): void;
-  /** Undefined if its targets are left to other proxies. */
+  /** Undefined while this proxy keeps no connections to the group's targets. */
   group(name: string): TargetGroup | undefined;
   /** Serves a session until it ends. */
   serve(caller: CallerConnection): void;
-  /** Ends idle sessions, gives the others their time, then ends all. */
+  /** Ends idle sessions, waits for the others to finish, then closes all. */
   drain(times: DrainTimes): Task<void>;
   sessions(): number;
   close(): void;
 }
 
-/** How a gateway ends its sessions. */
+/** Phases of a drain. */
 export interface DrainTimes {
-  /** Serves as before for so long: the balancer still sends. */
+  /** First phase: serves as before, as the balancer still sends sessions. */
   readonly serveFor: Milliseconds;
-  /** Then sessions end as they become idle, for so long at most. */
+  /** Longest second phase, in which sessions end as they become idle. */
   readonly endFor: Milliseconds;
 }
 
 const DRAIN_STEP: Milliseconds = 20;
 /**
- * Connections are kept for so long, beside the time for which a transaction may
- * stay idle, after this proxy had to hold them.
+ * How long a group's connections are kept after they were last needed, beyond
+ * the time for which a transaction may stay idle.
  */
 const LET_GO_AFTER: Milliseconds = 1000;
 
 /**
- * How often it is looked which groups are to be held: some times in the time in
- * which other proxies' rows are seen to stand still.
+ * Interval of the check which groups this proxy owns. Several checks fit into
+ * the time after which the unchanged row of another proxy counts as stale.
  */
 const HOLD_PERIOD: Milliseconds = 500;
 
@@ -112,7 +112,7 @@
   neededAt: Milliseconds;
 }
 
-/** Sorted once for all groups: a list may hold thousands. */
+/** Grouped once for all groups: the list may contain thousands of targets. */
 function byGroup(
   registrations: readonly TargetRegistration[],
 ): Map<string, TargetRegistration[]> {
@@ -125,7 +125,7 @@
   return groups;
 }
 
-/** Creates a gateway that knows no targets and no configuration. */
+/** Creates a gateway without targets or a configuration. */
 export function createGateway(options: GatewayOptions): Gateway {
   const {runtime} = options;
   const configuration = createConfigurationKeeper({
@@ -174,7 +174,7 @@
     return group;
   }
 
-  /** Asked for, a group is held even if that is left to others: for a while. */
+  /** Keeps a requested group for a while even if this proxy doesn't own it. */
   function holdIfListed(name: string): TargetGroup | undefined {
     const settings = configuration.group(name);
     return settings === undefined ? groups.get(name)?.group : hold(settings);
@@ -194,7 +194,7 @@
     }
   }
 
-  /** Takes up the groups that this proxy is to hold, and lets others go. */
+  /** Adds groups that this proxy owns and releases those no longer needed. */
   function holdGroups(): void {
     for (const settings of configuration.current()?.groups ?? []) {
       if (options.holds(settings)) {
--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -1,6 +1,6 @@
 /**
- * Wires a proxy of statement sessions: what it follows in the platform's store,
- * the gateway, and the watch over each group's primary.
+ * Wires a proxy of statement sessions: the tables of the platform's store, the
+ * gateway, and the failure detector of each group's primary.
  */
 import {
   type QuotaTolerance,
@@ -51,102 +51,106 @@
 import {type Relay, createRelay} from './relay/create_relay';
 import type {LeaderCheck} from './relay/primary_check';
 
-/** What was decoded, and what had to be left out. */
+/** A decoded value, with a message for each entry that had to be ignored. */
 export interface Decoded<T> {
   readonly value: T;
   readonly findings: readonly string[];
 }
 
-/** Where the store keeps what, and how it is decoded. */
+/** Names of the tables in the store and decoders of their rows. */
 export interface StoreLayout {
   readonly configurationTable: string;
   readonly registrationTable: string;
-  /** Rows of the groups' changes of primary. */
+  /** Table of the groups' successions. */
   readonly successionTable: string;
-  /** Rows of the proxies that hand the tables on. */
+  /** Table of the proxies that distribute the tables. */
   readonly distributorTable: string;
-  /** Undefined while there is no configuration that can be read. */
+  /** The value is undefined while there is no readable configuration. */
   decodeConfiguration(
     rows: TableRows,
   ): Decoded<GatewayConfiguration | undefined>;
   decodeRegistrations(rows: TableRows): Decoded<readonly TargetRegistration[]>;
 }
 
-/** Within what time a confirmed change is to be known by every proxy. */
+/** Times within which every proxy must know a confirmed change. */
 export interface TableDelays {
   readonly configuration: Milliseconds;
   readonly registrations: Milliseconds;
   /**
-   * A key that was taken away is not served for longer, even by a proxy that
-   * can't learn of it; undefined if such a proxy goes on with what it knows.
+   * Time after which a revoked key is no longer accepted, even by a proxy that
+   * receives no updates; undefined if such a proxy continues with its known
+   * state.
    */
   readonly revocation?: Milliseconds | undefined;
 }
 
-/** What a proxy tells of itself, for logs and metrics. */
+/** Events of a proxy, for logs and metrics. */
 export interface StatementProxyEvents {
   readonly tables: TableFeedEvents;
   readonly gateway: GatewayEvents;
   targets(group: string): TargetGroupEvents;
   succession(group: string): SuccessionEvents;
   onConfiguration(version: number): void;
-  /** Something in the store that can't be used. */
+  /** An entry in the store can't be used. */
   onFinding(place: 'configuration' | 'registration', message: string): void;
-  /** Other proxies can't send statements to this one. */
+  /** The relay address can't be listened on, so peers can't relay here. */
   onListenFailure(message: string): void;
 }
 
-/** What a proxy is made of. */
+/** Dependencies of a statement proxy. */
 export interface StatementProxyOptions {
   readonly runtime: Runtime;
   readonly self: PresentProxy;
-  /** Relative to others: those with more hand the tables on sooner. */
+  /** Relative to other proxies: those with more become distributors sooner. */
   readonly capacity: number;
   /** Carries tables and statements between proxies. */
   readonly transport: Transport;
   readonly store: TableStore;
   readonly layout: StoreLayout;
   readonly delays: TableDelays;
-  /** How quotas are judged; without it they are never exceeded. */
+  /** How far quotas may be exceeded at the start; undefined: not at all. */
   readonly quotaTolerance?: QuotaTolerance | undefined;
   readonly open: OpenTargetConnection;
   readonly readStatus: ReadTargetStatus;
   readonly orderPromotion: OrderPromotion;
   readonly policies: AdmissionPolicies;
   readonly events: StatementProxyEvents;
-  /** Addresses of proxies to ask first; they may be out of date. */
+  /** Addresses of proxies to contact first; they may be out of date. */
   readonly seeds: readonly string[];
 }
 
 /** A running proxy of statement sessions. */
 export interface StatementProxy {
   readonly gateway: Gateway;
-  /** How old the copies of the store's tables are. */
+  /** Ages of the local copies of the store's tables. */
   tableAges(): readonly TableAge[];
-  /** Part of all quotas that this proxy counts against. */
+  /** Share of all quotas that this proxy counts against through leases. */
   quotaPart(): number;
-  /** Ends what other proxies are connected to; nothing is served any more. */
+  /** Stops serving, and closes the connections of other proxies. */
   close(): void;
 }
 
-/** Other proxies keep their turn for so long after the row's last step. */
+/**
+ * How long a succession counts as in progress after the last change of its row:
+ * other proxies don't take it over before.
+ */
 const CHANGE_HOLD: Milliseconds = 2500;
 
 /**
- * A target counts as heard for so long after it answered a question: the pause
- * between two questions, and a round trip between regions.
+ * How long a primary counts as reached after its last answered status probe:
+ * the interval between two probes and a round trip between regions.
  */
 const HEARD_WITHIN: Milliseconds = 450;
 
-/** Targets tell themselves who leads; the rows only make it known sooner. */
+/** Targets report the primary; the rows only make it known sooner. */
 const SUCCESSION_KNOWN_WITHIN: Milliseconds = 12_000;
 
 const NOBODY: ReadonlySet<string> = new Set();
 
-/** A proxy by itself reaches no other. */
+/** Result of requests to other proxies while there is no relay. */
 const UNREACHED = createFailure('OUTCOME_UNKNOWN', {outcome: 'not_run'});
 
-/** A proxy by itself has nobody to ask. */
+/** Primary check while there is no relay. */
 function* nobodyAsked(): Task<boolean> {
   return false;
 }
@@ -212,7 +216,7 @@
     });
   }
 
-  /** A proxy that others can't reach shares nothing with them. */
+  /** A proxy without a relay address doesn't share quotas with others. */
   function fleetSize(): number | undefined {
     return self.relayAddress === '' ? 1 : feed.fleetSize();
   }
--- a/packages/gateway/src/dispatch_types.ts
+++ b/packages/gateway/src/dispatch_types.ts
@@ -1,4 +1,4 @@
-/** What is handed to a dispatcher, and what becomes of it. */
+/** Requests to a dispatcher and their results. */
 import type {LogPosition} from '@kelpstep/protocol';
 import type {Milliseconds, Task} from '@kelpstep/runtime';
 import {
@@ -12,42 +12,42 @@
 
 import type {CallerRoute} from './configuration';
 
-/** A statement outside a transaction, or the start of one. */
+/** A statement outside a transaction, or one that begins a transaction. */
 export interface Dispatch {
   readonly id: string;
   readonly route: CallerRoute;
-  /** Account that targets are told; undefined if callers have none. */
+  /** Client account that is passed to targets; undefined if there is none. */
   readonly account: string | undefined;
   readonly statement: SessionStatement;
   readonly shape: PreparedShape | undefined;
   readonly settings: SessionSettings;
-  /** Monotonic time at which the request came. */
+  /** Monotonic time at which the request arrived. */
   readonly arrivedAt: Milliseconds;
-  /** End of the session's last commit. */
+  /** Log position of the session's last commit. */
   readonly lastCommit: LogPosition | undefined;
-  /** True if it may only run at the primary. */
+  /** True if it may run only at the primary. */
   readonly needsPrimary: boolean;
-  /** True if it writes: an answer that is lost leaves it in doubt. */
+  /** True if it writes; its outcome is in doubt if the answer is lost. */
   readonly isWrite: boolean;
   isAbandoned(): boolean;
 }
 
-/** What became of it. */
+/** Outcome of a dispatched request. */
 export interface DispatchResult {
   readonly answer: StatementAnswer;
   readonly target: string;
   readonly attempts: number;
   readonly reason: string;
-  /** Proxy that ran it for this one; empty if none did. */
+  /** Peer that ran the request; empty if none did. */
   readonly via: string;
-  /** There if it began a transaction. */
+  /** Set if the request began a transaction. */
   readonly pinned: PinnedConnection | undefined;
 }
 
-/** Time to come back when nothing better is known. */
+/** Time to retry after, for refusals without a better estimate. */
 export const DEFAULT_RETRY_AFTER: Milliseconds = 300;
 
-/** Tells the caller that nothing has run, why, and when to come back. */
+/** Answers a statement that has not run with the reason and a time to retry. */
 export function refusalAnswer(
   reason: string,
   retryAfter: Milliseconds,
@@ -56,12 +56,12 @@
   return errorAnswer('busy', 'idle', text);
 }
 
-/** Runs statements at the targets that may run them. */
+/** Runs statements at targets that are allowed to run them. */
 export interface Dispatcher {
   dispatch(work: Dispatch): Task<DispatchResult>;
 }
 
-/** Statements of one database name and sort take about the same time. */
+/** Statistics key of statements that are expected to take the same time. */
 export function kindOf({route, statement, isWrite}: Dispatch): string {
   const sort = isWrite
     ? 'write'
--- a/packages/gateway/src/gateway_events.ts
+++ b/packages/gateway/src/gateway_events.ts
@@ -1,30 +1,30 @@
-/** What a gateway tells of its decisions, for logs and metrics. */
+/** Events of a gateway, for logs and metrics. */
 import type {Milliseconds} from '@kelpstep/runtime';
 import type {StatementErrorName} from '@kelpstep/statements';
 
-/** The end of a request. */
+/** Outcome of a request. */
 export interface RequestEnd {
   readonly id: string;
   readonly group: string;
   /** Client account of the caller; empty if it has none. */
   readonly account: string;
-  /** Freshness of its route and what it was. */
+  /** Freshness of the route and kind of the statement. */
   readonly kind: string;
   readonly outcome: 'ok' | StatementErrorName;
   /** Target that answered last; empty if none did. */
   readonly target: string;
   readonly attempts: number;
   /**
-   * Proxy that ran it for this one, or, for a kind that starts with `relayed`,
-   * the one that sent it; empty if neither.
+   * Peer that ran the request or, if `kind` starts with `relayed`, the peer
+   * that sent it; empty if neither.
    */
   readonly via: string;
   readonly duration: Milliseconds;
-  /** What decided it: the last step that went wrong, or empty. */
+  /** Last failure that led to the outcome; empty if there was none. */
   readonly reason: string;
 }
 
-/** Takes a gateway's events. */
+/** Receives a gateway's events. */
 export interface GatewayEvents {
   onRequestEnd(end: RequestEnd): void;
   onSession(event: 'opened' | 'refused' | 'closed', database: string): void;
--- a/packages/gateway/src/serve_session.ts
+++ b/packages/gateway/src/serve_session.ts
@@ -1,4 +1,4 @@
-/** One caller's session: its settings, its transaction, its answers in order. */
+/** Serves one caller's session: settings, transaction, answers in order. */
 import type {Quota} from '@kelpstep/accounts';
 import type {LogPosition} from '@kelpstep/protocol';
 import {
@@ -45,7 +45,7 @@
   stateAfterFailure,
 } from './transaction_failure';
 
-/** What a session is served with. */
+/** Dependencies of a session. */
 export interface SessionOptions {
   readonly runtime: Runtime;
   readonly caller: CallerConnection;
@@ -53,21 +53,21 @@
   readonly dispatcher: Dispatcher;
   readonly quota: Pick<Quota, 'take' | 'charge'>;
   readonly events: GatewayEvents;
-  /** True once idle sessions are to end. */
+  /** True once idle sessions must end. */
   isStopping(): boolean;
 }
 
 interface Transaction {
   readonly pinned: PinnedConnection;
-  /** Proxy that holds it; empty if this one does. */
+  /** Peer that has the transaction's connection; empty if it is local. */
   readonly via: string;
   readonly route: CallerRoute;
-  /** Account that it was begun for. */
+  /** Client account that began the transaction. */
   readonly account: string | undefined;
   hasWritten: boolean;
 }
 
-/** A statement that is passed on, with what a prepared name stands for. */
+/** A statement to forward, with the shape of the prepared one it executes. */
 interface Resolved {
   readonly statement: SessionStatement;
   readonly shape: PreparedShape | undefined;
@@ -92,11 +92,11 @@
 };
 
 /**
- * Time that a statement waits for the first configuration. The store answers
- * in milliseconds when it does at all.
+ * How long a statement waits for the first configuration. The store answers
+ * within milliseconds if it is available.
  */
 const FIRST_CONFIGURATION_WAIT: Milliseconds = 300;
-/** Pause before a statement that found no room is sent again. */
+/** Backoff before a statement is sent again after a `busy` answer. */
 const BUSY_PAUSE: Milliseconds = 20;
 
 const OVER_QUOTA = 'over quota';
@@ -153,7 +153,10 @@
     };
   }
 
-  /** Counts an operation of the account; gives the refusal if it may not run. */
+  /**
+   * Takes one operation from the account's quota; returns the refusal if the
+   * quota is exhausted.
+   */
   function* countOperation({
     route,
     account,
@@ -283,7 +286,7 @@
     return [fail(held, statement, reason), {...facts, reason}];
   }
 
-  /** The target's answer ended the transaction. */
+  /** Called when the target's answer has ended the transaction. */
   function concludeEnd(
     held: Transaction,
     statement: SessionStatement,
@@ -309,7 +312,7 @@
     return step.answer;
   }
 
-  /** True if the caller's key still stands for the transaction's account. */
+  /** True if the caller's key still belongs to the transaction's account. */
   function mayGoOn({account}: Transaction): boolean {
     return (
       account === undefined ||
@@ -317,7 +320,7 @@
     );
   }
 
-  /** Rolls back a transaction whose caller may not go on with it. */
+  /** Rolls back a transaction that its caller may no longer continue. */
   function revoke(statement: SessionStatement): StatementAnswer {
     endTransaction();
     state = stateAfterFailure(statement);
@@ -359,11 +362,11 @@
     return yield* serveOutside(request, statement);
   }
 
-  /** Gives the answer, of which one ends the session: the key is no longer valid. */
+  /** Sends the answer and returns it, as an invalid key ends the session. */
   function* handle(request: CallerRequest): Task<StatementAnswer> {
     const startedAt = timer.now();
     const [answer, facts] = yield* serve(request);
-    // The position is the targets' own matter.
+    // Log positions are not exposed to callers.
     caller.answer({...answer, position: undefined});
     events.onRequestEnd({
       id: request.id,
@@ -381,7 +384,7 @@
       }
       const message = yield* nextMessage();
       if (message === undefined) {
-        // Idle for too long inside a transaction: the next request is told.
+        // Idle too long inside a transaction: the next request gets the error.
         endTransaction();
         state = 'failed';
       } else if (message.kind === 'closed') {
--- a/packages/gateway/src/transaction_failure.ts
+++ b/packages/gateway/src/transaction_failure.ts
@@ -1,7 +1,4 @@
-/**
- * What callers are told when a transaction fails, and in which state their session is
- * then. Without input and output.
- */
+/** Pure functions for answers and session states after a failed transaction. */
 import {
   type SessionStatement,
   type StatementAnswer,
@@ -14,13 +11,16 @@
 /** Why a statement of a transaction failed. */
 export type FailureReason = StatementErrorName | 'answer lost';
 
-/** A session's state, and the answer that leads to it. */
+/** A session's next state and the answer that reports it. */
 export interface SessionStep {
   readonly state: TransactionState;
   readonly answer: StatementAnswer;
 }
 
-/** After a statement that would have ended it a session is outside transactions. */
+/**
+ * A failed commit or rollback still ends the transaction; any other failed
+ * statement leaves the session in the failed state.
+ */
 export function stateAfterFailure({kind}: SessionStatement): TransactionState {
   return kind === 'commit' || kind === 'rollback' ? 'idle' : 'failed';
 }
@@ -33,8 +33,9 @@
 }
 
 /**
- * A transaction that failed before its commit was sent is rolled back by closing its
- * connection. A commit that wrote may have taken effect.
+ * A transaction that fails before its commit is sent is rolled back by closing
+ * its connection. A failed commit of writes may have taken effect, unless the
+ * target has refused it.
  */
 export function failTransaction(
   statement: SessionStatement,
@@ -57,7 +58,7 @@
   );
 }
 
-/** Answers a statement inside a transaction that has failed before. */
+/** Answers a statement inside a transaction that has already failed. */
 export function answerInFailed(statement: SessionStatement): SessionStep {
   switch (statement.kind) {
     case 'rollback':
