--- a/packages/gateway/src/dispatch.ts
+++ b/packages/gateway/src/dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Decides where a statement runs, for how long it waits for a target that may
- * run it, what is tried again, and when it is refused.
+ * Runs statements at targets: selects a target, bounds the wait for one, and
+ * retries or refuses the statement.
  */
 import type {LogPosition} from '@kelpstep/protocol';
 import {
@@ -39,7 +39,7 @@
   createAttemptBudget,
 } from './hedged_attempt';
 
-/** What dispatch is made of. */
+/** Dependencies of a local dispatcher. */
 export interface DispatcherOptions {
   readonly runtime: Runtime;
   group(name: string): TargetGroup | undefined;
@@ -47,39 +47,41 @@
   isChanging(group: string): boolean;
 }
 
-/** Runs statements at targets that this proxy reaches itself. */
+/** Runs statements over this proxy's own connections to targets. */
 export interface LocalDispatcher extends Dispatcher {
   /**
-   * The same, but undefined if the statement has certainly not run and another
-   * proxy may know a place; `mayAskElsewhere` says whether one may be asked.
+   * Like `dispatch`, but undefined if the statement has certainly not run and a
+   * peer may have a target for it. `mayTryPeers` tells whether a peer may be
+   * tried.
    */
   dispatchUnless(
     work: Dispatch,
     mayAskElsewhere: () => boolean,
   ): Task<DispatchResult | undefined>;
-  /** True if a place is expected to be found without waiting. */
+  /** True if a target is expected to be available without waiting. */
   reaches(work: Dispatch): boolean;
-  /** Learns from the state of the group's primary; call it often. */
+  /** Samples the state of the group's primary; to be called on every tick. */
   notePrimary(group: TargetGroup): void;
 }
 
-/** Share of the timeout for which a statement may wait for a target. */
+/** Share of a statement's timeout for which it may wait for a target. */
 const HOLD_SHARE = 0.85;
-/** Targets that a statement is tried at. */
+/** Limit of the attempts that are sent for one statement. */
 const MAXIMUM_ATTEMPTS = 8;
-/** Pause after a target had no room. */
+/** Backoff after a target had no capacity. */
 const RETRY_PAUSE: Milliseconds = 15;
-/** Pause after no connection to a target could be had. */
+/** Backoff after no connection to a target could be opened. */
 const REOPEN_PAUSE: Milliseconds = 40;
 /**
- * A target that was sent a read and tells nothing for so long has lost the
- * answer, or is slow: another one is tried too. Below the tightest objective of
- * callers, above the time that a target's own queue adds under load.
+ * If a read is unanswered for this time, the answer is lost or the target is
+ * slow, and another target is tried as well. Below the tightest latency
+ * objective of callers, above the time that a target's own queue adds under
+ * load.
  */
 const SILENCE: Milliseconds = 280;
-/** For statements that take long, in multiples of the expected time. */
+/** Hedge delay of slow statements, in multiples of their expected time. */
 const SILENCE_FACTOR = 4;
-/** Errors after which the same statement may be tried elsewhere. */
+/** Errors after which the same statement may be tried at another target. */
 const RETRYABLE = new Set<StatementErrorName>([
   'busy',
   'lagging',
@@ -97,7 +99,7 @@
   readonly tried: Map<string, Milliseconds>;
 }
 
-/** Creates a dispatcher. */
+/** Creates a local dispatcher. */
 export function createDispatcher(options: DispatcherOptions): LocalDispatcher {
   const {runtime, isChanging} = options;
   const {timer} = runtime;
@@ -142,7 +144,7 @@
         }));
   }
 
-  /** What may run twice gets a second attempt if the first tells nothing. */
+  /** Runs a statement; an unanswered read gets a second attempt. */
   function* run(
     search: PlaceSearch,
     place: Place,
@@ -151,7 +153,7 @@
     const {work} = search;
     let sentAt: Milliseconds | undefined;
     let hasEnded = false;
-    // The attempt that isn't needed any more leaves its queue.
+    // An attempt whose answer is no longer needed leaves its queue.
     const waited = {
       ...work,
       isAbandoned: () => hasEnded || work.isAbandoned(),
@@ -201,7 +203,7 @@
       return refuse(progress, 'no targets');
     }
     while (progress.attempts < MAXIMUM_ATTEMPTS) {
-      // What was not sent is no attempt: it may wait until it is too late.
+      // Unsent statements don't count as attempts; only the time bounds them.
       if (timer.now() >= until && progress.attempts === 0) {
         return refuse(progress, progress.reason || 'no target may run it');
       }
@@ -232,7 +234,7 @@
     return refuse(progress, progress.reason);
   }
 
-  /** Right after the start the list of targets may still be on its way. */
+  /** Waits for the list of targets, which may be missing after the start. */
   function* findGroup(
     name: string,
     until: Milliseconds,
@@ -253,7 +255,7 @@
     return reason === 'lagging' ? 0 : RETRY_PAUSE;
   }
 
-  /** The result that an attempt leads to; undefined to try again. */
+  /** The result of an attempt; undefined to try again. */
   function conclude(
     group: TargetGroup,
     work: Dispatch,
@@ -323,7 +325,7 @@
 
   function* dispatch(work: Dispatch): Task<DispatchResult> {
     const result = yield* dispatchUnless(work, () => false);
-    // Without leave to ask elsewhere there always is a result.
+    // There always is a result if peers may not be tried.
     return result as DispatchResult;
   }
 
--- a/packages/gateway/src/hedged_attempt.ts
+++ b/packages/gateway/src/hedged_attempt.ts
@@ -1,7 +1,7 @@
 /**
- * A second attempt beside one that tells nothing: a target may run a statement
- * and its answer be lost, which only the statement's timeout would show. Only for
- * what may run twice.
+ * Hedges an unanswered attempt with a second one: the answer of a statement
+ * that has run may get lost, which would otherwise show only at the statement's
+ * timeout. Only for statements that may run twice.
  */
 import {
   type Future,
@@ -14,38 +14,41 @@
 } from '@kelpstep/runtime';
 import type {PinnedStart} from '@kelpstep/targets';
 
-/** An attempt under way; a statement that pins nothing has none at its end. */
+/**
+ * An attempt in progress. `pinned` is set in its result only if it began a
+ * transaction.
+ */
 export type Attempt = Future<PinnedStart>;
 
-/** What is needed for a second attempt. */
+/** Parameters of a hedged attempt. */
 export interface SecondAttemptOptions {
   readonly timer: TimerService;
   readonly first: Attempt;
-  /** When the first was sent to its target; undefined while it waits here. */
+  /** Monotonic time of sending the first; undefined while it is queued. */
   sentAt(): Milliseconds | undefined;
-  /** Silence after which the second starts, from the sending of the first. */
+  /** Time from sending the first until the second starts if unanswered. */
   readonly patience: Milliseconds;
-  /** Starts the second; undefined if there is no place or no budget for it. */
+  /** Starts the second; undefined if there is no target or no budget for it. */
   start(): Attempt | undefined;
 }
 
-/** How often it is looked whether the first was sent. */
+/** Interval of the check whether the first attempt was sent. */
 const LOOK_PERIOD: Milliseconds = 50;
 
-/** Keeps second attempts a small part of all: they are load as well. */
+/** Limits extra attempts to a small share of all, since they add load. */
 export interface AttemptBudget {
-  /** A first attempt was made. */
+  /** Records a first attempt, which adds a share of an extra one. */
   earn(): void;
-  /** True if a second may be made; it is counted. */
+  /** Takes one extra attempt from the budget; false if none is left. */
   spend(): boolean;
 }
 
-/** Second attempts for each first one at most. */
+/** Extra attempts per first attempt. */
 const BUDGET_SHARE = 0.1;
-/** Saved up at most: a quiet time doesn't pay for a flood. */
+/** Limits the burst of extra attempts that may follow a quiet period. */
 const MAXIMUM_SAVED = 20;
 
-/** Creates a budget that has something saved up. */
+/** Creates a full budget. */
 export function createAttemptBudget(): AttemptBudget {
   let saved = MAXIMUM_SAVED;
   return {
@@ -66,7 +69,7 @@
   return outcome.kind === 'answered' && outcome.answer.error === undefined;
 }
 
-/** The first success of both, else the first attempt's end. */
+/** The first success; if both fail, the result that came first. */
 function firstSuccess(first: Attempt, second: Attempt): Attempt {
   const result = createDeferred<PinnedStart>();
   const ended: PinnedStart[] = [];
@@ -87,7 +90,10 @@
   return result.future;
 }
 
-/** Waits for the first attempt, and for a second if that one stays silent. */
+/**
+ * Waits for the first attempt, and for a second one if the first stays
+ * unanswered for the hedge delay.
+ */
 export function* awaitWithSecond(
   options: SecondAttemptOptions,
 ): Task<PinnedStart> {
--- a/packages/gateway/src/primary_outage.ts
+++ b/packages/gateway/src/primary_outage.ts
@@ -1,45 +1,50 @@
 /**
- * When a lost primary is expected back, so that a statement which can't wait that
- * long is refused at once, with the time to come back.
+ * Estimates when a lost primary is back, so that a statement that can't wait
+ * that long is refused at once, with a time to retry.
  *
- * Load pattern: a primary dies under load and each caller's statement needs it. Held
- * to the end of its time, a statement uses up its session and one of few retries.
+ * This matters when a primary fails under load and every caller's statement
+ * needs it: a statement that waits until its timeout occupies its session and
+ * uses up one of the caller's few retries.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 /** Whether a group has a primary, and if not, why. */
 export type PrimaryState = 'present' | 'leaving' | 'lost';
 
-/** Expects primaries back by how long earlier ones were away. */
+/** Estimates how long an outage lasts from the durations of earlier ones. */
 export interface PrimaryReturn {
-  /** Tells whether the group has a primary that takes statements. */
+  /** Records whether the group has a primary that accepts statements. */
   note(group: string, state: PrimaryState, now: Milliseconds): void;
   /**
-   * Time until the group's primary is expected back; 0 if none was lost: right
-   * after the start it is only not known yet.
+   * Time until the group's primary is expected back; 0 if none was lost. A
+   * primary that was never known, as after the start, doesn't count as lost.
    */
   expected(group: string, now: Milliseconds): Milliseconds;
 }
 
 /**
- * Guesses before any primary was seen to return. A loss has to be found first, a
- * planned change goes on at once. Too long a guess refuses what could have waited.
+ * Estimates before the end of any outage was observed. A lost primary must
+ * first be detected, while a planned change starts at once. Too long an
+ * estimate refuses statements that could have waited.
  */
 const FIRST_GUESS = {lost: 1000, leaving: 300} as const;
-/** Weight of the newest absence; the platform's time for a promotion is steady. */
+/** Weight of the newest outage; the platform's promotion time varies little. */
 const WEIGHT = 0.5;
-/** A longer absence tells of a cut or an outage, not of a change of primary. */
+/**
+ * A longer outage indicates a network partition or a failure of the platform,
+ * not a change of primary.
+ */
 const LONGEST_CHANGE: Milliseconds = 3000;
-/** An absence that lasts longer than expected may end at any time. */
+/** An outage that lasts longer than estimated may end at any time. */
 const LEAST: Milliseconds = 100;
 
 interface Absence {
-  /** As it began: a primary that leaves is soon demoted, and then not known. */
+  /** State when the outage began; a leaving primary is soon seen as lost. */
   readonly cause: Exclude<PrimaryState, 'present'>;
   readonly since: Milliseconds;
 }
 
-/** Creates expectations of groups that never had a primary. */
+/** Creates an estimator that knows no primary. */
 export function createPrimaryReturn(): PrimaryReturn {
   const hadPrimary = new Set<string>();
   const absences = new Map<string, Absence>();
--- a/packages/gateway/src/select_read_target.ts
+++ b/packages/gateway/src/select_read_target.ts
@@ -1,38 +1,38 @@
-/** Which target serves a read: a function of what is known of all of them. */
+/** Selects the target of a read from the known state of the group's targets. */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 import type {ConnectionUser} from '@kelpstep/statements';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
-/** What the choice goes by. */
+/** Inputs of the selection. */
 export interface ReaderChoice {
   readonly group: TargetGroup;
-  /** Names statements that take about the same time. */
+  /** Statistics key of statements that take about the same time. */
   readonly kind: string;
-  /** Who the connection is for. */
+  /** User that the connection is opened for. */
   readonly user: ConnectionUser;
-  /** The target's log must hold it. */
+  /** Log position that the target must have reached. */
   readonly position: LogPosition;
-  /** When targets were tried for this statement. */
+  /** Monotonic times at which targets were tried for this statement. */
   readonly triedAt: ReadonlyMap<string, Milliseconds>;
   readonly now: Milliseconds;
 }
 
 /**
- * For so long a target that lacked the position, or was tried, is left out. A
- * replica in step applies a commit within this time.
+ * How long a target is excluded after it lacked the position or was tried. A
+ * replica without lag applies a commit within this time.
  */
 const LAG_MEMORY: Milliseconds = 60;
 /**
- * Added to the primary's expected time for work that a replica may do: what
- * only the primary may do waits behind it.
+ * Added to the primary's expected time for reads that a replica may serve,
+ * because they delay the statements that need the primary.
  */
 const PRIMARY_RELUCTANCE: Milliseconds = 10;
 
-/** A target that takes no connection may take one soon. */
+/** Added if the target accepts no connection now; it may accept one soon. */
 const SHUT_OUT_COST: Milliseconds = 300;
 
-/** Time by which the target is worse than an idle one that is near. */
+/** Added for a replica's lag; `Infinity` if its log lacks the position. */
 function lagCost(
   {group, position, now}: ReaderChoice,
   link: TargetLink,
@@ -66,7 +66,7 @@
   );
 }
 
-/** The target that is expected to answer first; undefined if none may. */
+/** The target expected to answer first; undefined if none is eligible. */
 export function chooseReader(choice: ReaderChoice): TargetLink | undefined {
   let best: TargetLink | undefined;
   let lowest = Infinity;
--- a/packages/gateway/src/select_target.ts
+++ b/packages/gateway/src/select_target.ts
@@ -1,4 +1,4 @@
-/** Finds the target at which a statement may run now, or waits for one. */
+/** Selects the target at which a statement may run, or waits for one. */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import {
   type Milliseconds,
@@ -12,63 +12,69 @@
 import {type Dispatch, kindOf} from './dispatch_types';
 import {type PrimaryState, createPrimaryReturn} from './primary_outage';
 
-/** A target, and the position that its log must hold. */
+/** A target, and the log position that it must have reached. */
 export interface Place {
   readonly link: TargetLink;
   readonly after: LogPosition | undefined;
 }
 
-/** No place will be found in the statement's time; how long until there is one. */
+/** No target is expected in time, but one after `retryAfter`. */
 export interface NoPlace {
   readonly retryAfter: Milliseconds;
 }
 
-/** Where a statement may run; `elsewhere`: another proxy may know a place. */
+/**
+ * Where a statement may run. `elsewhere`: a peer may have a target for it;
+ * undefined: there was none in time.
+ */
 export type Placement = Place | NoPlace | 'elsewhere' | undefined;
 
-/** What a search for a place is told. */
+/** Parameters of a target selection. */
 export interface PlaceSearch {
   readonly group: TargetGroup;
   readonly work: Dispatch;
-  /** Monotonic time at which it is given up. */
+  /** Monotonic time at which the selection is given up. */
   readonly until: Milliseconds;
-  /** When targets were tried for this statement. */
+  /** Monotonic times at which targets were tried for this statement. */
   readonly triedAt: ReadonlyMap<string, Milliseconds>;
-  /** True if another proxy may be asked while none is found here. */
+  /** True if a peer may be tried while no target is available here. */
   mayAskElsewhere(): boolean;
 }
 
-/** What finding places is made of. */
+/** Dependencies of a target selector. */
 export interface PlaceFinderOptions {
   readonly runtime: Runtime;
   /** True while the group's primary is being replaced. */
   isChanging(group: string): boolean;
 }
 
-/** Finds places. */
+/** Selects targets for statements. */
 export interface PlaceFinder {
   find(search: PlaceSearch): Task<Placement>;
-  /** A place beside one that was tried; at the primary, the same again. */
+  /**
+   * A target for a second attempt; the same one again if the statement needs
+   * the primary, undefined if there is none.
+   */
   another(search: PlaceSearch, place: Place): Place | undefined;
-  /** Learns from the state of the group's primary; call it often. */
+  /** Samples the state of the group's primary; to be called on every tick. */
   notePrimary(group: TargetGroup): void;
-  /** True if a place is expected to be found without waiting. */
+  /** True if a target is expected to be available without waiting. */
   isExpected(group: TargetGroup, work: Dispatch): boolean;
 }
 
 /**
- * Part of a route's staleness that isn't used up: it covers the caller's way
- * here and the way to the target.
+ * Part of a route's maximum staleness that is reserved for the network delay
+ * from the caller to this proxy and from here to the target.
  */
 const STALENESS_MARGIN: Milliseconds = 150;
-/** Pause between looks at the targets that may serve a read. */
+/** Interval of the checks for a target that may serve a read. */
 const LOOK_PERIOD: Milliseconds = 15;
 /**
- * How long a proof of freshness is waited for before another proxy is asked:
- * two round trips between regions and time to answer.
+ * How long to wait for a proof of freshness before trying a peer: two round
+ * trips between regions and the time to answer.
  */
 const PROOF_PATIENCE: Milliseconds = 120;
-/** Traffic and questions keep the proof younger than this. */
+/** Traffic and status probes keep the proof of freshness younger than this. */
 const PROOF_AGE: Milliseconds = 1000;
 
 function isPosition(
@@ -77,7 +83,7 @@
   return typeof after === 'object' && 'term' in after;
 }
 
-/** True if no place takes a connection of this proxy for the statement. */
+/** True if no target accepts a connection of this proxy for the account. */
 function isShutOut(
   places: ReadonlyArray<TargetLink | undefined>,
   {account}: Dispatch,
@@ -85,7 +91,7 @@
   return places.every(link => link?.isShutOut(account) ?? true);
 }
 
-/** Creates a finder. */
+/** Creates a target selector. */
 export function createPlaceFinder(options: PlaceFinderOptions): PlaceFinder {
   const {timer} = options.runtime;
   const primaryReturn = createPrimaryReturn();
@@ -103,7 +109,7 @@
     return isLeaving && leader?.isReached() ? 'leaving' : 'lost';
   }
 
-  /** Set if the lost primary is expected back too late for the statement. */
+  /** Set if a lost primary is expected back too late for the statement. */
   function absenceBeyond({group, until}: PlaceSearch): NoPlace | undefined {
     const now = timer.now();
     notePrimary(group);
@@ -121,14 +127,14 @@
   }
 
   /**
-   * The position that the target's log must hold. `again`: not known yet, and
-   * there is time; undefined: there is none.
+   * The log position that the target must have reached. `again`: not known yet,
+   * but there is time left; undefined: there is no time left.
    */
   function* requiredPosition(
     search: PlaceSearch,
   ): Task<LogPosition | NoPlace | 'again' | 'elsewhere' | undefined> {
     const {group, work, until} = search;
-    // Without a primary nothing new is proved, and it may be lost meanwhile.
+    // Only a primary proves freshness, and it may be lost during the wait.
     const covering = yield* group.awaitCovering(
       requiredTime(work),
       Math.min(until, timer.now() + PROOF_PATIENCE),
@@ -160,7 +166,9 @@
     return isUsable ? leader : undefined;
   }
 
-  /** While the primary is replaced every proxy waits for the same. */
+  /**
+   * Peers can't help while the primary is replaced: all wait for the same one.
+   */
   function isElsewhere({group, mayAskElsewhere}: PlaceSearch): boolean {
     return !options.isChanging(group.group) && mayAskElsewhere();
   }
