--- a/packages/gateway/src/relay/connection_owners.ts
+++ b/packages/gateway/src/relay/connection_owners.ts
@@ -1,7 +1,8 @@
 /**
- * Which proxies hold connections to a group's targets. All do where the targets
- * take enough connections; otherwise as many as they take, spread over the data
- * centres, the same ones in every proxy's view.
+ * Selects the connection owners of a group: the proxies that keep connections
+ * to its targets. These are all proxies if the targets accept enough
+ * connections; otherwise as many as the targets accept, spread over the data
+ * centres. Every proxy selects the same ones.
  */
 import {
   type CandidateSet,
@@ -11,30 +12,30 @@
 import type {PresentProxy} from '@kelpstep/table-feed';
 import {type GroupSettings, mostHolders} from '@kelpstep/targets';
 
-/** What holders are chosen from. */
+/** Inputs of the selection. */
 export interface HoldersOptions {
   readonly self: PresentProxy;
-  /** Proxies that run; another array after each change. */
+  /** Running proxies; a new array after each change. */
   live(): readonly PresentProxy[] | undefined;
   /**
-   * Relay addresses that this proxy hasn't reached for some time; another set after
-   * each change. Others hold connections in their place long before their rows
-   * expire.
+   * Relay addresses that have been unreachable for some time; a new set after
+   * each change. Other proxies replace these as connection owners long before
+   * their rows expire.
    */
   lost(): ReadonlySet<string>;
 }
 
-/** The holders of each group. */
+/** The connection owners of each group. */
 export interface Holders {
-  /** True if this proxy is one; false while the others aren't known. */
+  /** True if this proxy is one; false while the others are unknown. */
   holds(settings: GroupSettings): boolean;
-  /** How many there are; `Infinity` while that isn't known. */
+  /** Number of connection owners; `Infinity` while unknown. */
   count(settings: GroupSettings): number;
-  /** True once the proxies that run are known. */
+  /** True once the running proxies are known. */
   areKnown(): boolean;
-  /** True if a proxy with this relay address is among those that run. */
+  /** True if a running proxy has this relay address, or none is known yet. */
   isListed(relayAddress: string): boolean;
-  /** Holders that statements may be sent to, without this proxy. */
+  /** Connection owners to relay statements to, without this proxy. */
   others(settings: GroupSettings): readonly PresentProxy[];
 }
 
@@ -44,7 +45,7 @@
   readonly others: readonly PresentProxy[];
 }
 
-/** Creates holders; a group's are chosen once for each list of proxies. */
+/** Creates the selection, which is cached for each list of proxies. */
 export function createHolders(options: HoldersOptions): Holders {
   const {self} = options;
   let chosenFrom: readonly PresentProxy[] | undefined;
--- a/packages/gateway/src/relay/create_relay.ts
+++ b/packages/gateway/src/relay/create_relay.ts
@@ -1,4 +1,4 @@
-/** Wires what sends statements through other proxies, and serves theirs. */
+/** Wires the parts that run statements through peers and run theirs here. */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import {
   type HandlerTable,
@@ -17,7 +17,7 @@
 import {createRelayServer} from './relay_server';
 import {createRelayingDispatcher} from './relaying_dispatcher';
 
-/** What a relay is made of. */
+/** Dependencies of a relay. */
 export interface RelayOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -26,10 +26,10 @@
   readonly holders: Holders;
   readonly events: GatewayEvents;
   settings(group: string): GroupSettings | undefined;
-  /** True if the group's primary answered this proxy a moment ago. */
+  /** True if the group's primary has recently answered this proxy. */
   reachesLeader(group: string): boolean;
   isStopping(): boolean;
-  /** Adds what else is served to other proxies. */
+  /** Registers further request handlers for other proxies. */
   serveOthers(handlers: HandlerTable): void;
   /** The relay address could not be listened on. */
   onListenFailure(message: string): void;
@@ -41,11 +41,11 @@
   readonly isLeaderReached: LeaderCheck;
   readonly request: RelayClient['request'];
   readonly isUsable: RelayClient['isUsable'];
-  /** Relay addresses of proxies that were not reached for some time. */
+  /** Relay addresses of proxies that have been unreachable for some time. */
   lost(): ReadonlySet<string>;
 }
 
-/** Starts to listen for other proxies. */
+/** Creates a relay and starts to listen for other proxies. */
 export function createRelay(options: RelayOptions): Relay {
   const {runtime, transport, self, local, holders, events} = options;
   const client = createRelayClient({
--- a/packages/gateway/src/relay/peer_latency.ts
+++ b/packages/gateway/src/relay/peer_latency.ts
@@ -1,55 +1,59 @@
 /**
- * Which of several proxies take much longer than the others, by what earlier
- * statements took and how long others have been waiting. Without input and output.
+ * Finds peers that take much longer than others, from the times of earlier
+ * statements and the waits of unanswered ones. Does no input or output.
  *
- * Load pattern: a burst while an instance is slow. All that its data centre sends to
- * it would wait there, and be refused, though others have room.
+ * This matters in a burst while an instance is slow: all statements that its
+ * data centre sends to it would wait there and be refused, though other
+ * instances have capacity.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Another proxy that statements may be handed to. */
+/** A peer that statements may be sent to. */
 export interface LoadedPeer {
-  /** What takes about the same time at all of them. */
+  /** Workload that takes about the same time at all of its peers. */
   readonly group: string;
   readonly proxy: string;
-  /** Time of the way there and back. */
+  /** Network round trip to the peer. */
   readonly roundTrip: Milliseconds;
 }
 
-/** Expectations by group and peer. */
+/** Expected latencies by workload and peer. */
 export interface PeerLoad {
-  /** A statement is handed over; call the result when it has its answer. */
+  /** Records that a statement is sent; call the result when it is answered. */
   begin(peer: LoadedPeer, now: Milliseconds): (now: Milliseconds) => void;
-  /** True if it is expected to take much longer than its group does. */
+  /** True if the peer is expected to take much longer than its workload. */
   isSlow(peer: LoadedPeer, now: Milliseconds): boolean;
 }
 
-/** One statement that takes long, as some do everywhere, makes no slow peer. */
+/**
+ * Weight of a new time in a peer's average: one slow statement, as any peer may
+ * have, doesn't make a peer slow.
+ */
 const WEIGHT = 0.2;
-/** Of a group's average, which all of its peers have a part in. */
+/** Weight in a workload's average, to which all of its peers contribute. */
 const GROUP_WEIGHT = 0.05;
-/** A slow peer takes so many times what its group does, */
+/** A slow peer takes longer than its workload's average by this factor, */
 const SLOW_FACTOR = 2;
-/** and so much more: the way to another region must be worth it. */
+/** and by this margin on top, so that the way to another region is worth it. */
 const SLOW_MARGIN: Milliseconds = 40;
-/** Until a group has answered anything. */
+/** Average of a workload before its first answer. */
 const FIRST_GUESS: Milliseconds = 20;
 /**
- * Measured so long ago, half of what a peer takes more or less than its group is
- * believed: one that was slow gets a statement now and then, and is used again once
- * it is fast.
+ * Half-life of a peer's deviation from its workload's average since its last
+ * answer: a peer that was slow gets a statement occasionally, and is used again
+ * once it is fast.
  */
 const HALF_LIFE: Milliseconds = 3000;
 
 interface Load {
-  /** Time beyond the way there and back. */
+  /** Average time beyond the network round trip. */
   average: Milliseconds | undefined;
   measuredAt: Milliseconds;
-  /** When what is under way was handed over, oldest first. */
+  /** Send times of unanswered statements, oldest first. */
   readonly begun: Set<{readonly at: Milliseconds}>;
 }
 
-/** Creates expectations without any measurement. */
+/** Creates a tracker without measurements. */
 export function createPeerLoad(): PeerLoad {
   const loads = new Map<string, Load>();
   const groups = new Map<string, Milliseconds>();
@@ -81,7 +85,7 @@
     groups.set(peer.group, common + GROUP_WEIGHT * (time - common));
   }
 
-  /** A peer that doesn't answer at all shows by what waits for it. */
+  /** Detects a peer that doesn't answer at all. */
   function longestWait({begun}: Load, now: Milliseconds): Milliseconds {
     const [oldest] = begun;
     return oldest === undefined ? 0 : now - oldest.at;
--- a/packages/gateway/src/relay/peer_order.ts
+++ b/packages/gateway/src/relay/peer_order.ts
@@ -1,16 +1,16 @@
-/** The order in which other proxies are asked. */
+/** The order in which peers are tried. */
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 import type {PresentProxy} from '@kelpstep/table-feed';
 
-/** Where the proxy is that asks. */
+/** Location of a proxy. */
 export type ProxyPlace = Pick<PresentProxy, 'dataCentre' | 'region'>;
 
-/** Ways there and back, by distance: what counts is their order of magnitude. */
+/** Round trips by distance; only their order of magnitude matters. */
 const SAME_DATA_CENTRE: Milliseconds = 1;
 const SAME_REGION: Milliseconds = 2;
 const OTHER_REGION: Milliseconds = 40;
 
-/** Time of the way there and back that the distance lets expect. */
+/** Expected network round trip between two locations. */
 export function roundTripBetween(
   from: ProxyPlace,
   to: ProxyPlace,
@@ -31,7 +31,7 @@
     .map(({peer}) => peer);
 }
 
-/** In random order, so that those of all data centres are asked. */
+/** Shuffles the peers, so that all data centres are represented. */
 export function inRandomOrder(
   random: Random,
   peers: readonly PresentProxy[],
@@ -39,20 +39,20 @@
   return sortBy(peers, () => random.fraction());
 }
 
-/** What the order goes by. */
+/** Inputs of a peer's rank. */
 export interface PeerRank {
   readonly roundTrip: Milliseconds;
-  /** True if it takes much longer than others. */
+  /** True if the peer takes much longer than others. */
   readonly isSlow: boolean;
 }
 
-/** Puts a slow peer behind all others. */
+/** Ranks a slow peer behind all others. */
 const SLOW_RANK: Milliseconds = 1000;
 
 /**
- * The nearest first, so that few statements go between regions, and slow ones last;
- * in random order among those that are equally near: if all chose the fastest, they
- * would choose the same.
+ * Orders the nearest peers first, so that few statements cross regions, and
+ * slow peers last. Equally near peers come in random order: if all proxies
+ * chose the fastest peer, they would all choose the same one.
  */
 export function nearestFirst(
   random: Random,
--- a/packages/gateway/src/relay/peer_reachability.ts
+++ b/packages/gateway/src/relay/peer_reachability.ts
@@ -1,6 +1,7 @@
 /**
- * Which proxies can be reached. One that can't is tried again in the background,
- * so that no statement pays for the attempt; after a while others take its part.
+ * Tracks which proxies are reachable. An unreachable one is retried in the
+ * background, so that no statement is delayed by the attempt; after some time
+ * other proxies replace it as a connection owner.
  */
 import {
   type Future,
@@ -13,37 +14,38 @@
   waitFor,
 } from '@kelpstep/runtime';
 
-/** What reachability is made of. */
+/** Dependencies of the reachability tracker. */
 export interface PeerReachabilityOptions {
   readonly runtime: Runtime;
-  /** Asks the proxy at an address for a sign of life. */
+  /** Sends a heartbeat request to an address; true if it is answered. */
   isAnswering(address: string): Future<boolean>;
-  /** False once the proxy at the address is no longer among those that run. */
+  /** False once no running proxy has the address. */
   isListed(address: string): boolean;
 }
 
-/** Tells which proxies can be reached. */
+/** Tracks which proxies are reachable. */
 export interface PeerReachability {
-  /** A connection to the address failed or was lost. */
+  /** Records that a connection to the address failed or was lost. */
   noteFailure(address: string): void;
-  /** False from a failure until it is reached again. */
+  /** False from a failure until the address is reached again. */
   isUsable(address: string): boolean;
-  /** Addresses not reached for `LOST_AFTER`; another set after each change. */
+  /** Addresses unreachable for `LOST_AFTER_MS`; a new set after each change. */
   lost(): ReadonlySet<string>;
 }
 
 /**
- * Before a proxy is tried again: one that restarts is back soon, a cut or a dead one
- * costs two attempts a second.
+ * Backoff in milliseconds: short at first because a restarting proxy is back
+ * soon, and at most two attempts per second for one that is partitioned or
+ * stopped.
  */
 const PAUSES: RetryPauseBounds = {first: 100, longest: 500};
 /**
- * Silence after which another proxy holds connections in its place. A process that
- * is killed starts again within about a second.
+ * Time after which another proxy replaces an unreachable connection owner. A
+ * killed process restarts within about a second.
  */
 const LOST_AFTER: Milliseconds = 1200;
 
-/** Creates reachability; all proxies count as reached at first. */
+/** Creates a tracker; all proxies count as reachable at first. */
 export function createPeerReachability(
   options: PeerReachabilityOptions,
 ): PeerReachability {
--- a/packages/gateway/src/relay/primary_check.ts
+++ b/packages/gateway/src/relay/primary_check.ts
@@ -1,6 +1,6 @@
 /**
- * Asks other proxies whether they reach a group's primary, so that one that is
- * cut off from it doesn't take it for lost.
+ * Checks through peers whether a group's primary is reachable, so that a proxy
+ * that is partitioned from the primary doesn't consider it lost.
  */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import {type Runtime, type Task, waitFor} from '@kelpstep/runtime';
@@ -8,11 +8,11 @@
 import {inRandomOrder} from './peer_order';
 import type {RelayClient} from './relay_client';
 
-/** What the check is made of. */
+/** Dependencies of the check. */
 export interface LeaderCheckOptions {
   readonly runtime: Runtime;
   readonly client: RelayClient;
-  /** Other proxies that hold connections to the group's targets. */
+  /** The group's connection owners, without this proxy. */
   peers(group: string): readonly PresentProxy[];
 }
 
@@ -20,12 +20,12 @@
 export type LeaderCheck = (group: string) => Task<boolean>;
 
 /**
- * Proxies that are asked at once. Where half of all are cut off from a primary,
- * one time in 64 all of these are.
+ * Number of peers that are requested at once. If half of all proxies are
+ * partitioned from the primary, all of these are in 1 case out of 64.
  */
 const MAXIMUM_ASKED = 6;
 
-/** Creates the check. */
+/** Creates a check that uses the client's connections. */
 export function createLeaderCheck(options: LeaderCheckOptions): LeaderCheck {
   const {random} = options.runtime;
   const {client} = options;
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -1,4 +1,4 @@
-/** Has statements run by other proxies. */
+/** Runs statements through other proxies. */
 import type {Method} from '@kelpstep/protocol';
 import {
   type PeerLinks,
@@ -35,12 +35,12 @@
   relayStatement,
 } from './relay_messages';
 
-/** What became of a statement that was handed to another proxy. */
+/** Outcome of a statement that was sent to another proxy. */
 export type RelayOutcome =
   | {readonly kind: 'ended'; readonly result: DispatchResult}
-  /** Certainly not run. */
+  /** The statement has certainly not run. */
   | {readonly kind: 'notRun'; readonly reason: string}
-  /** Handed over, and no answer came. */
+  /** The statement was sent, but not answered. */
   | {readonly kind: 'lost'};
 
 /** Another proxy that may run statements. */
@@ -49,57 +49,57 @@
   readonly relayAddress: string;
 }
 
-/** What a relay client is made of. */
+/** Dependencies of a relay client. */
 export interface RelayClientOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
   /** Name of this proxy. */
   readonly self: string;
-  /** False once the proxy at an address is no longer among those that run. */
+  /** False once no running proxy has the address. */
   isListed(address: string): boolean;
 }
 
-/** Hands statements to other proxies. */
+/** Sends statements to other proxies. */
 export interface RelayClient {
   dispatch(
     to: RelayTarget,
     work: Dispatch,
     mayWait: boolean,
   ): Task<RelayOutcome>;
-  /** Whether the other proxy reaches the group's primary; false in doubt. */
+  /** Whether the other proxy reaches the group's primary; false if unknown. */
   reachesLeader(address: string, group: string): Future<boolean>;
-  /** Asks another proxy for something that is no statement. */
+  /** Sends another proxy a request that is not a statement. */
   request<P, R>(
     address: string,
     method: Method<P, R>,
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
-  /** False from a failure until it answers again. */
+  /** False from a failure until the proxy answers again. */
   isUsable(address: string): boolean;
-  /** Addresses not reached for some time; another set after each change. */
+  /** Addresses unreachable for some time; a new set after each change. */
   lost(): ReadonlySet<string>;
   close(): void;
 }
 
-/** Time for a connection to another proxy: some round trips between regions. */
+/** Some round trips between regions, to connect to another proxy. */
 const CONNECT_TIMEOUT: Milliseconds = 300;
-/** Added to the statement's time, for the way back. */
+/** Added to a statement's timeout for the network delay of the answer. */
 const ANSWER_ALLOWANCE: Milliseconds = 60;
-/** How often it is looked whether the caller still waits. */
+/** Interval of the check whether the caller still waits. */
 const ABANDON_CHECK: Milliseconds = 100;
-/** While something is handed over, the other proxy is asked this often. */
+/** Interval of heartbeats to a proxy that runs statements for this one. */
 const PING_PERIOD: Milliseconds = 250;
 /**
- * Time for a sign of life. With `PING_PERIOD` a connection that went silent is
- * found within a second.
+ * Timeout of a heartbeat. With `HEARTBEAT_INTERVAL_MS`, an unresponsive
+ * connection is detected within a second.
  */
 const PING_TIMEOUT: Milliseconds = 600;
 
 /** A round trip between regions, one more to connect, and a busy peer. */
 const LEADER_TIMEOUT: Milliseconds = 150;
 
-/** A peer's connection with how much is handed over on it. */
+/** A connection and the number of statements and transactions on it. */
 interface Use {
   readonly peer: RpcPeer;
   count: number;
@@ -112,7 +112,7 @@
   const links: PeerLinks = createPeerLinks({transport, timer});
   const reachability = createPeerReachability({
     runtime,
-    // A frozen process takes connections and answers nothing.
+    // A frozen process accepts connections but answers nothing.
     isAnswering: address =>
       mapFuture(
         links.request(address, relayPing, {}, CONNECT_TIMEOUT),
@@ -146,7 +146,7 @@
     }
   }
 
-  /** A connection that tells nothing while something is on it is given up. */
+  /** Closes a connection that is unresponsive while it is in use. */
   function* keepAsking(address: string, used: Use): Task<void> {
     const {peer} = used;
     for (;;) {
@@ -154,7 +154,8 @@
       if (used.count === 0) {
         continue;
       }
-      // It counts as used, so that a long transaction doesn't lose it.
+      // Marks the connection as used, so that it stays open in long
+      // transactions.
       void links.connect(address, CONNECT_TIMEOUT);
       const askedAt = timer.now();
       const reply = yield* waitFor(peer.request(relayPing, {}, PING_TIMEOUT));
@@ -229,7 +230,7 @@
     };
   }
 
-  /** Waits for the answer, and tells when nobody does any more. */
+  /** Waits for the answer, and notifies the peer once the caller has left. */
   function* awaitReply(
     reply: Future<Result<RelayResult, RequestFailure>>,
     work: Dispatch,
@@ -350,13 +351,15 @@
     : Err('closed' as const);
 }
 
-/** Statements that only change the session are never handed over. */
+/** Statements that only change the session are never sent to other proxies. */
 function asRelayed(statement: SessionStatement): RelayedStatement['statement'] {
   switch (statement.kind) {
     case 'set':
     case 'prepare':
     case 'deallocate':
-      throw new Error(`A ${statement.kind} is the session's own.`);
+      throw new Error(
+        `${statement.kind} only changes the session; not relayed`,
+      );
     default:
       return statement;
   }
--- a/packages/gateway/src/relay/relay_messages.ts
+++ b/packages/gateway/src/relay/relay_messages.ts
@@ -1,4 +1,4 @@
-/** Messages by which a proxy has statements run by another one. */
+/** Messages by which a proxy runs statements through another one. */
 import {defineMethod, logPositionSchema} from '@kelpstep/protocol';
 import {
   STATEMENT_ERRORS,
@@ -24,15 +24,15 @@
 
 const shapeSchema = z.object({access: accessSchema, shape: z.string()});
 
-/** Values of the session, in the order in which they were set. */
+/** Session settings, in the order in which they were set. */
 const valuesSchema = z.array(z.tuple([z.string(), z.string()]));
 
-/** The sender's route counts: its configuration may be the newer one. */
+/** The sender's route applies, since its configuration may be newer. */
 const routeSchema = z.object({
   database: z.string(),
   freshness: z.enum(['primary', 'bounded', 'readYourWrites']),
   group: z.string(),
-  /** What is left of the statement's time, in milliseconds. */
+  /** Remaining time of the statement, in milliseconds. */
   timeout: z.number().positive(),
   targetLatency: z.number(),
   priority: z.number(),
@@ -50,17 +50,17 @@
   position: logPositionSchema.optional(),
 });
 
-/** The sender's number for a statement, unique on its connection. */
+/** Number that the sender gives a statement, unique on its connection. */
 const workSchema = z.number().int().nonnegative();
 
-/** A statement outside a transaction, or the start of one. */
+/** A statement outside a transaction, or one that begins a transaction. */
 const relayedStatementSchema = z.object({
   work: workSchema,
-  /** Name of the proxy that sends it, for the log. */
+  /** Name of the sending proxy, for the log. */
   sender: z.string(),
   id: z.string(),
   route: routeSchema,
-  /** Client account that targets are told. */
+  /** Client account that is passed to targets. */
   account: z.string().optional(),
   statement: statementSchema,
   shape: shapeSchema.optional(),
@@ -68,13 +68,13 @@
   lastCommit: logPositionSchema.optional(),
   needsPrimary: z.boolean(),
   isWrite: z.boolean(),
-  /** False: only if a place is expected to be found at once. */
+  /** False: run only if a target is expected to be available at once. */
   mayWait: z.boolean(),
 });
 export type RelayedStatement = z.infer<typeof relayedStatementSchema>;
 
 const relayResultSchema = z.discriminatedUnion('kind', [
-  /** Certainly not run. */
+  /** The statement has certainly not run. */
   z.object({kind: z.literal('notRun'), reason: z.string()}),
   z.object({
     kind: z.literal('ended'),
@@ -88,7 +88,7 @@
 ]);
 export type RelayResult = z.infer<typeof relayResultSchema>;
 
-/** Runs a statement. */
+/** Runs a statement outside a transaction, or begins a transaction. */
 export const relayStatement = defineMethod(
   'relay.statement',
   relayedStatementSchema,
@@ -102,40 +102,40 @@
   statement: statementSchema,
   shape: shapeSchema.optional(),
   values: valuesSchema,
-  /** Milliseconds. */
+  /** In milliseconds. */
   timeout: z.number(),
 });
 export type PinnedStatement = z.infer<typeof pinnedStatementSchema>;
 
 const pinnedResultSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('answered'), answer: answerSchema}),
-  /** It may have run. */
+  /** The statement may have run. */
   z.object({kind: z.literal('lost')}),
 ]);
 export type PinnedResult = z.infer<typeof pinnedResultSchema>;
 
-/** Runs a statement inside a transaction that was begun here. */
+/** Runs a statement inside a transaction that `relayStatement` began. */
 export const relayPinned = defineMethod(
   'relay.pinned',
   pinnedStatementSchema,
   pinnedResultSchema,
 );
 
-/** Asks whether the other proxy reaches the primary of a group. */
+/** Checks whether the other proxy reaches the primary of a group. */
 export const relayLeader = defineMethod(
   'relay.leader',
   z.object({group: z.string()}),
   z.object({isReached: z.boolean()}),
 );
 
-/** Asks for a sign of life. */
+/** Heartbeat. */
 export const relayPing = defineMethod('relay.ping', z.object({}), z.object({}));
 
-/** Notification: nobody waits for this work any more, or its end is known. */
+/** Notification: the answer isn't awaited, or the transaction has ended. */
 export const RELAY_END = 'relay.end';
 export const relayEndSchema = z.object({work: workSchema});
 
-/** An answer as it was sent; what JSON leaves out is there again. */
+/** Restores the fields with undefined values, which JSON omits. */
 export function readAnswer(
   answer: z.infer<typeof answerSchema>,
 ): StatementAnswer {
--- a/packages/gateway/src/relay/relay_server.ts
+++ b/packages/gateway/src/relay/relay_server.ts
@@ -1,4 +1,6 @@
-/** Runs statements for other proxies at targets that this one reaches. */
+/**
+ * Runs statements for other proxies over this proxy's connections to targets.
+ */
 import {
   type Connection,
   type HandlerTable,
@@ -39,27 +41,27 @@
   relayStatement,
 } from './relay_messages';
 
-/** What a relay server is made of. */
+/** Dependencies of a relay server. */
 export interface RelayServerOptions {
   readonly runtime: Runtime;
   readonly local: LocalDispatcher;
   readonly events: GatewayEvents;
-  /** True if the group's primary answered this proxy a moment ago. */
+  /** True if the group's primary has recently answered this proxy. */
   reachesLeader(group: string): boolean;
-  /** True once nothing new is taken, as this proxy is to end. */
+  /** True once this proxy is stopping and accepts no new requests. */
   isStopping(): boolean;
-  /** Adds what else is served to other proxies. */
+  /** Registers further request handlers for other proxies. */
   serveOthers(handlers: HandlerTable): void;
 }
 
-/** Serves other proxies. */
+/** Runs requests of other proxies. */
 export interface RelayServer {
   accept(connection: Connection): void;
-  /** Statements and transactions of others that are under way here. */
+  /** Number of other proxies' statements and transactions in progress here. */
   pending(): number;
 }
 
-/** One statement or transaction of another proxy. */
+/** A statement or transaction of another proxy. */
 interface RelayedWork {
   readonly settings: SessionSettings;
   pinned: PinnedConnection | undefined;
@@ -67,13 +69,14 @@
 }
 
 /**
- * A sender asks for signs of life several times in this time while it waits for
- * anything. Silent for longer, it is gone, and its transactions are rolled back.
+ * A sender that waits for anything sends several heartbeats in this time. One
+ * that is silent for longer is considered stopped, and its transactions are
+ * rolled back.
  */
 const SENDER_SILENCE: Milliseconds = 2000;
 const SILENCE_CHECK: Milliseconds = 500;
 
-/** Creates a server; connections are handed to it. */
+/** Creates a server without connections. */
 export function createRelayServer(options: RelayServerOptions): RelayServer {
   const {runtime, local, events} = options;
   const {timer} = runtime;
@@ -208,7 +211,7 @@
     options.serveOthers(handlers);
     const peer = createRpcPeer({connection, timer, handlers});
     peer.onNotification(RELAY_END, parameters => {
-      // What can't be read ends nothing; the sender's silence does.
+      // An invalid message is ignored; the sender timeout covers its loss.
       const parsed = relayEndSchema.safeParse(parameters);
       if (parsed.success) {
         end(parsed.data.work);
@@ -238,7 +241,7 @@
   };
 }
 
-/** The session's values as they are now; none is ever taken back. */
+/** Applies the session's current settings; settings are never removed. */
 function takeValues(
   {values}: SessionSettings,
   next: ReadonlyArray<readonly [string, string]>,
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * Runs statements here or through another proxy: here if this one holds
- * connections to the group's targets, through a holder otherwise, and through
- * any that reaches a place while this one doesn't.
+ * Runs statements locally or through a peer: locally if this proxy is a
+ * connection owner of the group, through a connection owner otherwise. A
+ * connection owner that has no target also uses peers.
  */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import type {Milliseconds, Runtime, Task} from '@kelpstep/runtime';
@@ -25,29 +25,29 @@
 } from './peer_order';
 import type {RelayClient, RelayOutcome} from './relay_client';
 
-/** What a relaying dispatcher is made of. */
+/** Dependencies of a relaying dispatcher. */
 export interface RelayingDispatcherOptions {
   readonly runtime: Runtime;
   readonly local: LocalDispatcher;
   readonly client: RelayClient;
-  /** Where this proxy is: near peers are preferred. */
+  /** Location of this proxy; near peers are preferred. */
   readonly place: ProxyPlace;
-  /** True if this proxy holds connections to the group's targets. */
+  /** True if this proxy is a connection owner of the group. */
   holds(group: string): boolean;
-  /** Other proxies that hold some. */
+  /** The group's connection owners, without this proxy. */
   peers(group: string): readonly PresentProxy[];
 }
 
 /**
- * A peer that reaches no place is not asked again for so long: at most four
- * questions a second and group to each.
+ * How long a peer that had no target is not tried again: each peer gets at most
+ * four such requests per second and group.
  */
 const PAUSE_AFTER_REFUSAL: Milliseconds = 250;
 
-/** Of a result that no target has a part in. */
+/** Fields of a result without a target. */
 const NOT_RUN = {target: '', attempts: 0, via: '', pinned: undefined};
 
-/** Creates a dispatcher over the local one. */
+/** Creates a dispatcher that extends the local one. */
 export function createRelayingDispatcher(
   options: RelayingDispatcherOptions,
 ): Dispatcher {
@@ -57,7 +57,7 @@
   const load = createPeerLoad();
   const budget = createAttemptBudget();
 
-  /** Reads and writes may find different places. */
+  /** Separates statements that need the primary from others. */
   function sortOf({route, needsPrimary}: Dispatch): string {
     return `${route.group} ${needsPrimary ? 'primary' : 'any'}`;
   }
@@ -104,7 +104,7 @@
     work: Dispatch,
     mayWait: boolean,
   ): Task<RelayOutcome> {
-    // A transaction waits for a connection of its own: that says little of the peer.
+    // A begin waits for its own connection, which says little about the peer.
     const isMeasured = work.statement.kind !== 'begin';
     const end = isMeasured
       ? load.begin(asLoaded(peer, work), timer.now())
@@ -114,14 +114,14 @@
     return outcome;
   }
 
-  /** Others may have room for what one refused; a few may be asked. */
+  /** After a refusal by an overloaded peer, another one may have capacity. */
   function mayAskAnother({answer}: DispatchResult): boolean {
     return answer.error?.name === 'busy' && budget.spend();
   }
 
   /**
-   * The result of the first peer that took it, or the last refusal; undefined if
-   * it has not run and nobody refused it.
+   * The result of the first peer that accepted the request, or the last
+   * refusal; undefined if it has not run and no peer refused it.
    */
   function* tryPeers(
     work: Dispatch,
@@ -179,9 +179,10 @@
   }
 
   /**
-   * First to a holder that expects to run it at once; then one that waits, as
-   * the others do while there is no primary. Connections of its own are taken
-   * only if no holder is there: for each proxy there aren't enough.
+   * Tries a connection owner that expects to run the request at once, then one
+   * that may wait, as owners do while there is no primary. Opens local
+   * connections only if no connection owner is usable, since the targets don't
+   * accept enough connections for every proxy.
    */
   function* dispatchThrough(work: Dispatch): Task<DispatchResult> {
     const result =
