--- a/packages/gateway/__tests__/configuration.spec.ts
+++ b/packages/gateway/__tests__/configuration.spec.ts
@@ -5,7 +5,7 @@
 import {
   type CallerRoute,
   type GatewayConfiguration,
-  createConfigurationKeeper,
+  createActiveConfiguration,
 } from '../src/configuration';
 
 const ROUTE: CallerRoute = {
@@ -35,7 +35,7 @@
 }
 
 function createKeeper(isCurrent = () => true, mayTrustKeys = () => true) {
-  const keeper = createConfigurationKeeper({isCurrent, mayTrustKeys});
+  const keeper = createActiveConfiguration({isCurrent, mayTrustKeys});
 
   /** The account a session is served as, or the error that it gets. */
   function judge(database: string, keyDigest = ''): string | undefined {
@@ -118,10 +118,10 @@
       {...DEPOT, keyDigests: ['d', 'office-2']},
     ];
     keeper.accept(configuration(2, [ROUTE], moved));
-    expect(keeper.trustedHolder('office-2')).toEqual('depot');
+    expect(keeper.trustedAccount('office-2')).toEqual('depot');
     keeper.accept(configuration(3, [ROUTE], [OFFICE]));
     expect(keeper.judge('records', 'd')).toEqual('notAuthorized');
-    expect(keeper.trustedHolder('d')).toEqual(undefined);
+    expect(keeper.trustedAccount('d')).toEqual(undefined);
   });
 
   test('are trusted only as long as the deployment allows without proof', () => {
@@ -131,10 +131,10 @@
       () => mayTrust,
     );
     keeper.accept(configuration(1, [ROUTE, PUBLIC], [OFFICE]));
-    expect(keeper.trustedHolder('office-1')).toEqual('office');
+    expect(keeper.trustedAccount('office-1')).toEqual('office');
     mayTrust = false;
     expect(keeper.judge('records', 'office-1')).toEqual('busy');
     expect(keeper.judge('notices')).toEqual('anyone');
-    expect(keeper.trustedHolder('office-1')).toEqual(undefined);
+    expect(keeper.trustedAccount('office-1')).toEqual(undefined);
   });
 });
--- a/packages/gateway/__tests__/hedged_attempt.spec.ts
+++ b/packages/gateway/__tests__/hedged_attempt.spec.ts
@@ -11,7 +11,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {awaitWithSecond, createAttemptBudget} from '../src/hedged_attempt';
+import {awaitHedged, createRetryBudget} from '../src/hedged_attempt';
 
 const PATIENCE: Milliseconds = 280;
 const LONG: Milliseconds = 2000;
@@ -27,11 +27,11 @@
 
   const task = runtime.spawn(
     'attempts',
-    awaitWithSecond({
+    awaitHedged({
       timer,
       first: first.future,
       sentAt: () => sentAt,
-      patience: PATIENCE,
+      hedgeDelay: PATIENCE,
       start() {
         startedAt.push(timer.now());
         return second.future;
@@ -121,11 +121,11 @@
   });
 
   test('is made for a tenth of the first ones at most, over time', () => {
-    const budget = createAttemptBudget();
+    const budget = createRetryBudget();
     let made = 0;
     for (let attempt = 0; attempt < 1000; attempt++) {
-      budget.earn();
-      made += budget.spend() ? 1 : 0;
+      budget.deposit();
+      made += budget.tryWithdraw() ? 1 : 0;
     }
     expect(made >= 100 && made <= 121).toEqual(true);
   });
--- a/packages/gateway/__tests__/peer_order.spec.ts
+++ b/packages/gateway/__tests__/peer_order.spec.ts
@@ -3,7 +3,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {createPeerLoad} from '../src/relay/peer_latency';
+import {createPeerLatencyTracker} from '../src/relay/peer_latency';
 import {
   type PeerRank,
   nearestFirst,
@@ -66,7 +66,7 @@
 
   /** Statements to all of them, one of which takes its own time. */
   function measured(time: number) {
-    const load = createPeerLoad();
+    const load = createPeerLatencyTracker();
     for (let count = 0; count < ROUNDS; count++) {
       others.forEach(other => load.begin(other, 0)(USUAL));
       load.begin(asked, 0)(time);
--- a/packages/gateway/__tests__/transaction_failure.spec.ts
+++ b/packages/gateway/__tests__/transaction_failure.spec.ts
@@ -3,8 +3,8 @@
 import {describe, test} from 'node:test';
 
 import {
-  type SessionStep,
-  answerInFailed,
+  type SessionTransition,
+  answerInFailedTransaction,
   failTransaction,
 } from '../src/transaction_failure';
 
@@ -12,7 +12,7 @@
 const COMMIT: SessionStatement = {kind: 'commit'};
 const ROLLBACK: SessionStatement = {kind: 'rollback'};
 
-function told({state, answer}: SessionStep): [string, string] {
+function told({state, answer}: SessionTransition): [string, string] {
   return [state, answer.error?.name ?? 'ok'];
 }
 
@@ -20,9 +20,15 @@
   test('is rolled back, and stays failed until its end', () => {
     const failed = failTransaction(READ, 'answer lost', true);
     expect(told(failed)).toEqual(['failed', 'aborted']);
-    expect(told(answerInFailed(READ))).toEqual(['failed', 'malformed']);
-    expect(told(answerInFailed(COMMIT))).toEqual(['idle', 'aborted']);
-    expect(told(answerInFailed(ROLLBACK))).toEqual(['idle', 'ok']);
+    expect(told(answerInFailedTransaction(READ))).toEqual([
+      'failed',
+      'malformed',
+    ]);
+    expect(told(answerInFailedTransaction(COMMIT))).toEqual([
+      'idle',
+      'aborted',
+    ]);
+    expect(told(answerInFailedTransaction(ROLLBACK))).toEqual(['idle', 'ok']);
   });
 
   test('is in doubt if its commit wrote and gave no answer', () => {
--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -13,7 +13,7 @@
 import {type StatementAnswer, errorAnswer} from '@kelpstep/statements';
 import type {GroupSettings} from '@kelpstep/targets';
 
-import {DEFAULT_RETRY_AFTER, refusalAnswer} from './dispatch_types';
+import {DEFAULT_RETRY_AFTER_MS, refusalAnswer} from './dispatch_types';
 
 /**
  * Which commits a read must observe. `primary`: all that were acknowledged
@@ -68,7 +68,7 @@
   | {readonly kind: 'refused'; readonly answer: StatementAnswer};
 
 /** The newest accepted configuration. */
-export interface ConfigurationKeeper {
+export interface ActiveConfiguration {
   current(): GatewayConfiguration | undefined;
   group(name: string): GroupSettings | undefined;
   /** An account's quota; undefined if the account is unlimited. */
@@ -85,19 +85,19 @@
    * Name of the account that a key belongs to; undefined if the key is unknown
    * or may have been revoked.
    */
-  trustedHolder(keyDigest: string): string | undefined;
+  trustedAccount(keyDigest: string): string | undefined;
   /** Settles once there is a configuration. */
   readonly first: Future<undefined>;
   /** Accepts a configuration; false unless it is newer than the current one. */
   accept(configuration: GatewayConfiguration): boolean;
 }
 
-const OUT_OF_DATE = 'the configuration may be out of date';
+const CONFIGURATION_OUT_OF_DATE = 'the configuration may be out of date';
 const KEYS_OUT_OF_DATE = 'the key may have been taken away';
 const NO_CONFIGURATION = 'no configuration yet';
 
 /** Dependencies of the active configuration. */
-export interface ConfigurationKeeperOptions {
+export interface ActiveConfigurationOptions {
   /** False if the known configuration may be older than its staleness bound. */
   isCurrent(): boolean;
   /** False if keys may have been revoked unnoticed: none is accepted then. */
@@ -108,14 +108,14 @@
   return {kind: 'refused', answer};
 }
 
-function refuseForNow(reason: string): SessionAdmission {
-  return refuse(refusalAnswer(reason, DEFAULT_RETRY_AFTER));
+function refuseTemporarily(reason: string): SessionAdmission {
+  return refuse(refusalAnswer(reason, DEFAULT_RETRY_AFTER_MS));
 }
 
 /** Creates the state before the first configuration. */
-export function createConfigurationKeeper(
-  options: ConfigurationKeeperOptions,
-): ConfigurationKeeper {
+export function createActiveConfiguration(
+  options: ActiveConfigurationOptions,
+): ActiveConfiguration {
   let current: GatewayConfiguration | undefined;
   let routes = new Map<string, CallerRoute>();
   let groups = new Map<string, GroupSettings>();
@@ -125,12 +125,12 @@
   function deny(name: 'noDatabase' | 'notAuthorized'): SessionAdmission {
     return options.isCurrent()
       ? refuse(errorAnswer(name, 'idle'))
-      : refuseForNow(OUT_OF_DATE);
+      : refuseTemporarily(CONFIGURATION_OUT_OF_DATE);
   }
 
   function admit({database, keyDigest}: SessionIdentity): SessionAdmission {
     if (current === undefined) {
-      return refuseForNow(NO_CONFIGURATION);
+      return refuseTemporarily(NO_CONFIGURATION);
     }
     const route = routes.get(database);
     if (route === undefined) {
@@ -145,7 +145,7 @@
     }
     return options.mayTrustKeys()
       ? {kind: 'admitted', route, account}
-      : refuseForNow(KEYS_OUT_OF_DATE);
+      : refuseTemporarily(KEYS_OUT_OF_DATE);
   }
 
   function limitOf(account: string): VersionedLimit | undefined {
@@ -164,7 +164,7 @@
       current &&
       (current.accounts ?? []).some(({quota}) => quota !== undefined),
     admit,
-    trustedHolder: keyDigest =>
+    trustedAccount: keyDigest =>
       options.mayTrustKeys() ? accounts?.holderOf(keyDigest)?.name : undefined,
     accept(configuration) {
       if (current !== undefined && configuration.version <= current.version) {
--- a/packages/gateway/src/create_gateway.ts
+++ b/packages/gateway/src/create_gateway.ts
@@ -22,9 +22,9 @@
 
 import type {CallerConnection} from './caller_connection';
 import {
-  type ConfigurationKeeper,
+  type ActiveConfiguration,
   type GatewayConfiguration,
-  createConfigurationKeeper,
+  createActiveConfiguration,
 } from './configuration';
 import {type LocalDispatcher, createDispatcher} from './dispatch';
 import type {Dispatcher} from './dispatch_types';
@@ -41,16 +41,16 @@
   readonly events: GatewayEvents;
   groupEvents(group: string): TargetGroupEvents;
   /** True if this proxy is a connection owner of the group. */
-  holds(settings: GroupSettings): boolean;
+  ownsConnections(settings: GroupSettings): boolean;
   /** Number of the group's connection owners; `Infinity` while unknown. */
-  holders(settings: GroupSettings): number;
-  isChanging(group: string): boolean;
+  ownerCount(settings: GroupSettings): number;
+  isPrimaryChanging(group: string): boolean;
   /** False if the known configuration may be older than its staleness bound. */
   isConfigurationCurrent(): boolean;
   /** False if keys may have been revoked unnoticed: none is accepted then. */
   mayTrustKeys(): boolean;
   /** Monitors the primary of a new group until the group is released. */
-  onGroup(group: TargetGroup): GroupWatch;
+  monitorPrimary(group: TargetGroup): PrimaryMonitor;
   /** Wraps the local dispatcher to also run statements through peers. */
   createRelay(local: LocalDispatcher, isStopping: () => boolean): GatewayRelay;
 }
@@ -64,13 +64,13 @@
 }
 
 /** Monitors a group's primary. */
-export interface GroupWatch {
+export interface PrimaryMonitor {
   stop(): void;
 }
 
 /** Serves the sessions of callers at the registered targets. */
 export interface Gateway {
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   /** Applies a configuration; false unless it is newer than the current one. */
   configure(configuration: GatewayConfiguration): boolean;
   /** Replaces the list of targets. */
@@ -93,27 +93,27 @@
   readonly endFor: Milliseconds;
 }
 
-const DRAIN_STEP: Milliseconds = 20;
+const DRAIN_POLL_INTERVAL_MS: Milliseconds = 20;
 /**
  * How long a group's connections are kept after they were last needed, beyond
  * the time for which a transaction may stay idle.
  */
-const LET_GO_AFTER: Milliseconds = 1000;
+const GROUP_RELEASE_DELAY_MS: Milliseconds = 1000;
 
 /**
  * Interval of the check which groups this proxy owns. Several checks fit into
  * the time after which the unchanged row of another proxy counts as stale.
  */
-const HOLD_PERIOD: Milliseconds = 500;
+const OWNERSHIP_CHECK_INTERVAL_MS: Milliseconds = 500;
 
-interface HeldGroup {
+interface ActiveGroup {
   readonly group: TargetGroup;
-  readonly watch: GroupWatch;
-  neededAt: Milliseconds;
+  readonly monitor: PrimaryMonitor;
+  lastNeededAt: Milliseconds;
 }
 
 /** Grouped once for all groups: the list may contain thousands of targets. */
-function byGroup(
+function groupRegistrations(
   registrations: readonly TargetRegistration[],
 ): Map<string, TargetRegistration[]> {
   const groups = new Map<string, TargetRegistration[]>();
@@ -128,34 +128,37 @@
 /** Creates a gateway without targets or a configuration. */
 export function createGateway(options: GatewayOptions): Gateway {
   const {runtime} = options;
-  const configuration = createConfigurationKeeper({
+  const configuration = createActiveConfiguration({
     isCurrent: options.isConfigurationCurrent,
     mayTrustKeys: options.mayTrustKeys,
   });
-  const groups = new Map<string, HeldGroup>();
+  const groups = new Map<string, ActiveGroup>();
   const sessions = new Set<CallerConnection>();
   let registrations = new Map<string, TargetRegistration[]>();
   let isStopping = false;
   const {timer} = runtime;
   const local = createDispatcher({
     runtime,
-    group: holdIfListed,
-    isChanging: options.isChanging,
+    group: findGroup,
+    isPrimaryChanging: options.isPrimaryChanging,
   });
   const relay = options.createRelay(local, () => isStopping);
   const {dispatcher} = relay;
   const stopTicks = timer.every(TICK_PERIOD, () => {
     for (const {group} of groups.values()) {
       group.tick();
-      local.notePrimary(group);
+      local.observePrimary(group);
     }
   });
-  const stopHolding = timer.every(HOLD_PERIOD, holdGroups);
+  const stopOwnershipChecks = timer.every(
+    OWNERSHIP_CHECK_INTERVAL_MS,
+    refreshOwnedGroups,
+  );
 
-  function hold(settings: GroupSettings): TargetGroup {
+  function ensureGroup(settings: GroupSettings): TargetGroup {
     const known = groups.get(settings.group);
     if (known !== undefined) {
-      known.neededAt = timer.now();
+      known.lastNeededAt = timer.now();
       return known.group;
     }
     const name = settings.group;
@@ -166,45 +169,47 @@
       readStatus: options.readStatus,
       policies: options.policies,
       events: options.groupEvents(name),
-      holders: () => options.holders(configuration.group(name) ?? settings),
+      holders: () => options.ownerCount(configuration.group(name) ?? settings),
     });
-    const watch = options.onGroup(group);
-    groups.set(name, {group, watch, neededAt: timer.now()});
-    update(group, settings);
+    const monitor = options.monitorPrimary(group);
+    groups.set(name, {group, monitor, lastNeededAt: timer.now()});
+    updateGroup(group, settings);
     return group;
   }
 
   /** Keeps a requested group for a while even if this proxy doesn't own it. */
-  function holdIfListed(name: string): TargetGroup | undefined {
+  function findGroup(name: string): TargetGroup | undefined {
     const settings = configuration.group(name);
-    return settings === undefined ? groups.get(name)?.group : hold(settings);
+    return settings === undefined
+      ? groups.get(name)?.group
+      : ensureGroup(settings);
   }
 
-  function update(group: TargetGroup, settings: GroupSettings): void {
+  function updateGroup(group: TargetGroup, settings: GroupSettings): void {
     group.update(registrations.get(settings.group) ?? [], settings);
   }
 
   function updateGroups(): void {
-    holdGroups();
+    refreshOwnedGroups();
     for (const {group} of groups.values()) {
       const settings = configuration.group(group.group);
       if (settings !== undefined) {
-        update(group, settings);
+        updateGroup(group, settings);
       }
     }
   }
 
   /** Adds groups that this proxy owns and releases those no longer needed. */
-  function holdGroups(): void {
+  function refreshOwnedGroups(): void {
     for (const settings of configuration.current()?.groups ?? []) {
-      if (options.holds(settings)) {
-        hold(settings);
+      if (options.ownsConnections(settings)) {
+        ensureGroup(settings);
       }
     }
     const idle = configuration.current()?.transactionIdle ?? Infinity;
-    for (const [name, {group, watch, neededAt}] of groups) {
-      if (timer.now() - neededAt > idle + LET_GO_AFTER) {
-        watch.stop();
+    for (const [name, {group, monitor, lastNeededAt}] of groups) {
+      if (timer.now() - lastNeededAt > idle + GROUP_RELEASE_DELAY_MS) {
+        monitor.stop();
         group.close();
         groups.delete(name);
       }
@@ -220,7 +225,7 @@
     const end = runtime.timer.now() + endFor;
     const isBusy = () => sessions.size > 0 || relay.pending() > 0;
     while (isBusy() && runtime.timer.now() < end) {
-      yield* sleep(DRAIN_STEP);
+      yield* sleep(DRAIN_POLL_INTERVAL_MS);
     }
     for (const caller of sessions) {
       caller.close();
@@ -237,7 +242,7 @@
       return isNewer;
     },
     register(next) {
-      registrations = byGroup(next);
+      registrations = groupRegistrations(next);
       updateGroups();
     },
     group: name => groups.get(name)?.group,
@@ -263,7 +268,7 @@
     sessions: () => sessions.size,
     close() {
       stopTicks();
-      stopHolding();
+      stopOwnershipChecks();
       relay.close();
       groups.forEach(({group}) => group.close());
     },
--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -47,9 +47,9 @@
 import type {GatewayConfiguration} from './configuration';
 import {type Gateway, createGateway} from './create_gateway';
 import type {GatewayEvents} from './gateway_events';
-import {createHolders} from './relay/connection_owners';
+import {createConnectionOwners} from './relay/connection_owners';
 import {type Relay, createRelay} from './relay/create_relay';
-import type {LeaderCheck} from './relay/primary_check';
+import type {PrimaryCheck} from './relay/primary_check';
 
 /** A decoded value, with a message for each entry that had to be ignored. */
 export interface Decoded<T> {
@@ -73,7 +73,7 @@
 }
 
 /** Times within which every proxy must know a confirmed change. */
-export interface TableDelays {
+export interface StalenessBounds {
   readonly configuration: Milliseconds;
   readonly registrations: Milliseconds;
   /**
@@ -107,7 +107,7 @@
   readonly transport: Transport;
   readonly store: TableStore;
   readonly layout: StoreLayout;
-  readonly delays: TableDelays;
+  readonly delays: StalenessBounds;
   /** How far quotas may be exceeded at the start; undefined: not at all. */
   readonly quotaTolerance?: QuotaTolerance | undefined;
   readonly open: OpenTargetConnection;
@@ -134,29 +134,29 @@
  * How long a succession counts as in progress after the last change of its row:
  * other proxies don't take it over before.
  */
-const CHANGE_HOLD: Milliseconds = 2500;
+const SUCCESSION_ROW_TIMEOUT_MS: Milliseconds = 2500;
 
 /**
  * How long a primary counts as reached after its last answered status probe:
  * the interval between two probes and a round trip between regions.
  */
-const HEARD_WITHIN: Milliseconds = 450;
+const PRIMARY_ANSWER_WINDOW_MS: Milliseconds = 450;
 
 /** Targets report the primary; the rows only make it known sooner. */
-const SUCCESSION_KNOWN_WITHIN: Milliseconds = 12_000;
+const SUCCESSION_STALENESS_BOUND_MS: Milliseconds = 12_000;
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_PEERS: ReadonlySet<string> = new Set();
 
 /** Result of requests to other proxies while there is no relay. */
-const UNREACHED = createFailure('OUTCOME_UNKNOWN', {outcome: 'not_run'});
+const NO_PEERS_FAILURE = createFailure('OUTCOME_UNKNOWN', {outcome: 'not_run'});
 
 /** Primary check while there is no relay. */
-function* nobodyAsked(): Task<boolean> {
+function* reachedByNoPeer(): Task<boolean> {
   return false;
 }
 
-interface SeenRow extends VersionedSuccession {
-  readonly seenAt: Milliseconds;
+interface ObservedSuccession extends VersionedSuccession {
+  readonly observedAt: Milliseconds;
 }
 
 /** Creates a proxy; its parts run until the runtime is shut down. */
@@ -166,28 +166,30 @@
   const {runtime, self, store, layout, delays, events, orderPromotion} =
     options;
   const {timer} = runtime;
-  const rows = new Map<string, SeenRow>();
-  const reported = new Set<string>();
-  let isLeaderReached: LeaderCheck = nobodyAsked;
-  let lostPeers: () => ReadonlySet<string> = () => NOBODY;
+  const rows = new Map<string, ObservedSuccession>();
+  const reportedFindings = new Set<string>();
+  let isPrimaryReachedByPeer: PrimaryCheck = reachedByNoPeer;
+  let lostPeers: () => ReadonlySet<string> = () => NO_PEERS;
   let relay: Relay | undefined;
-  const holders = createHolders({
+  const connectionOwners = createConnectionOwners({
     self,
     live: () => feed.live(),
     lost: () => lostPeers(),
   });
 
-  function isHeard(link: TargetLink): boolean {
-    const silence = timer.now() - link.lastAskedAt();
-    return link.isReached() && silence < HEARD_WITHIN;
+  function hasAnsweredRecently(link: TargetLink): boolean {
+    const age = timer.now() - link.lastAskedAt();
+    return link.isReached() && age < PRIMARY_ANSWER_WINDOW_MS;
   }
 
-  function isChanging(group: string): boolean {
+  function isPrimaryChanging(group: string): boolean {
     const row = rows.get(group);
     const phase = row?.succession.phase;
-    const isUnderWay = phase === 'stopping' || phase === 'ordered';
+    const isInProgress = phase === 'stopping' || phase === 'ordered';
     return (
-      row !== undefined && isUnderWay && timer.now() - row.seenAt < CHANGE_HOLD
+      row !== undefined &&
+      isInProgress &&
+      timer.now() - row.observedAt < SUCCESSION_ROW_TIMEOUT_MS
     );
   }
 
@@ -200,7 +202,7 @@
     return feed.age(layout.configurationTable) <= revocation;
   }
 
-  function watch(group: TargetGroup): SuccessionWatch {
+  function monitorPrimary(group: TargetGroup): SuccessionWatch {
     return watchSuccession({
       runtime,
       group,
@@ -210,9 +212,9 @@
       table: layout.successionTable,
       readStatus: options.readStatus,
       events: events.succession(group.group),
-      isLeaderReachedElsewhere: () => isLeaderReached(group.group),
+      isLeaderReachedElsewhere: () => isPrimaryReachedByPeer(group.group),
       row: () => rows.get(group.group),
-      rowSeenAt: () => rows.get(group.group)?.seenAt ?? -Infinity,
+      rowSeenAt: () => rows.get(group.group)?.observedAt ?? -Infinity,
     });
   }
 
@@ -233,7 +235,7 @@
     isUsable: ({relayAddress}) => relay?.isUsable(relayAddress) ?? false,
     request: ({relayAddress}, method, parameters, timeout) =>
       relay?.request(relayAddress, method, parameters, timeout) ??
-      settledFuture(Err(UNREACHED)),
+      settledFuture(Err(NO_PEERS_FAILURE)),
   });
 
   const gateway = createGateway({
@@ -244,12 +246,12 @@
     quota,
     events: events.gateway,
     groupEvents: events.targets,
-    holds: holders.holds,
-    holders: holders.count,
-    isChanging,
+    ownsConnections: connectionOwners.ownsConnections,
+    ownerCount: connectionOwners.count,
+    isPrimaryChanging,
     isConfigurationCurrent,
     mayTrustKeys,
-    onGroup: watch,
+    monitorPrimary,
     createRelay(local, isStopping) {
       if (self.relayAddress === '') {
         return {dispatcher: local, pending: () => 0, close: () => {}};
@@ -259,24 +261,24 @@
         transport: options.transport,
         self,
         local,
-        holders,
+        connectionOwners,
         events: events.gateway,
         settings: name => gateway.configuration.group(name),
-        reachesLeader(name) {
+        reachesPrimary(name) {
           const leader = gateway.group(name)?.leader();
-          return leader !== undefined && isHeard(leader);
+          return leader !== undefined && hasAnsweredRecently(leader);
         },
         isStopping,
-        serveOthers: quota.serve,
+        registerHandlers: quota.serve,
         onListenFailure: events.onListenFailure,
       });
-      isLeaderReached = relay.isLeaderReached;
+      isPrimaryReachedByPeer = relay.isPrimaryReachedByPeer;
       lostPeers = relay.lost;
       return relay;
     },
   });
 
-  function takeConfiguration(tableRows: TableRows): void {
+  function applyConfiguration(tableRows: TableRows): void {
     const {value, findings} = layout.decodeConfiguration(tableRows);
     const isOld = value !== undefined && !gateway.configure(value);
     if (isOld) {
@@ -290,33 +292,33 @@
     }
   }
 
-  function takeRegistrations(tableRows: TableRows): void {
+  function applyRegistrations(tableRows: TableRows): void {
     const {value, findings} = layout.decodeRegistrations(tableRows);
     gateway.register(value);
     for (const message of findings) {
-      if (!reported.has(message)) {
-        reported.add(message);
+      if (!reportedFindings.has(message)) {
+        reportedFindings.add(message);
         events.onFinding('registration', message);
       }
     }
   }
 
-  function takeSuccession(key: string, {value, version}: StoredRow): void {
+  function applySuccession(key: string, {value, version}: StoredRow): void {
     const name = key.slice(SUCCESSION_PREFIX.length);
     const parsed = successionSchema.safeParse(value);
     if (!parsed.success || rows.get(name)?.version === version) {
       return;
     }
-    rows.set(name, {succession: parsed.data, version, seenAt: timer.now()});
+    rows.set(name, {succession: parsed.data, version, observedAt: timer.now()});
     const group = gateway.group(name);
     void group?.link(parsed.data.target)?.askStatus();
     group?.changes.give();
   }
 
-  function takeSuccessions(tableRows: TableRows): void {
+  function applySuccessions(tableRows: TableRows): void {
     for (const [key, row] of tableRows) {
       if (key.startsWith(SUCCESSION_PREFIX)) {
-        takeSuccession(key, row);
+        applySuccession(key, row);
       }
     }
   }
@@ -333,17 +335,17 @@
       {
         table: layout.configurationTable,
         knownWithin: delays.configuration,
-        onRows: takeConfiguration,
+        onRows: applyConfiguration,
       },
       {
         table: layout.registrationTable,
         knownWithin: delays.registrations,
-        onRows: takeRegistrations,
+        onRows: applyRegistrations,
       },
       {
         table: layout.successionTable,
-        knownWithin: SUCCESSION_KNOWN_WITHIN,
-        onRows: takeSuccessions,
+        knownWithin: SUCCESSION_STALENESS_BOUND_MS,
+        onRows: applySuccessions,
       },
     ],
     events: events.tables,
--- a/packages/gateway/src/dispatch.ts
+++ b/packages/gateway/src/dispatch.ts
@@ -25,26 +25,26 @@
 } from '@kelpstep/targets';
 
 import {
-  DEFAULT_RETRY_AFTER,
-  type Dispatch,
+  DEFAULT_RETRY_AFTER_MS,
+  type DispatchRequest,
   type DispatchResult,
   type Dispatcher,
-  kindOf,
   refusalAnswer,
+  statementKindOf,
 } from './dispatch_types';
-import {type Place, type PlaceSearch, createPlaceFinder} from './select_target';
+import {type Attempt, awaitHedged, createRetryBudget} from './hedged_attempt';
 import {
-  type Attempt,
-  awaitWithSecond,
-  createAttemptBudget,
-} from './hedged_attempt';
+  type SelectedTarget,
+  type TargetSearch,
+  createTargetSelector,
+} from './select_target';
 
 /** Dependencies of a local dispatcher. */
 export interface DispatcherOptions {
   readonly runtime: Runtime;
   group(name: string): TargetGroup | undefined;
   /** True while the group's primary is being replaced. */
-  isChanging(group: string): boolean;
+  isPrimaryChanging(group: string): boolean;
 }
 
 /** Runs statements over this proxy's own connections to targets. */
@@ -54,33 +54,33 @@
    * peer may have a target for it. `mayTryPeers` tells whether a peer may be
    * tried.
    */
-  dispatchUnless(
-    work: Dispatch,
-    mayAskElsewhere: () => boolean,
+  tryDispatch(
+    request: DispatchRequest,
+    mayTryPeers: () => boolean,
   ): Task<DispatchResult | undefined>;
   /** True if a target is expected to be available without waiting. */
-  reaches(work: Dispatch): boolean;
+  canRunNow(request: DispatchRequest): boolean;
   /** Samples the state of the group's primary; to be called on every tick. */
-  notePrimary(group: TargetGroup): void;
+  observePrimary(group: TargetGroup): void;
 }
 
 /** Share of a statement's timeout for which it may wait for a target. */
-const HOLD_SHARE = 0.85;
+const MAXIMUM_WAIT_RATIO = 0.85;
 /** Limit of the attempts that are sent for one statement. */
 const MAXIMUM_ATTEMPTS = 8;
 /** Backoff after a target had no capacity. */
-const RETRY_PAUSE: Milliseconds = 15;
+const RETRY_BACKOFF_MS: Milliseconds = 15;
 /** Backoff after no connection to a target could be opened. */
-const REOPEN_PAUSE: Milliseconds = 40;
+const RECONNECT_BACKOFF_MS: Milliseconds = 40;
 /**
  * If a read is unanswered for this time, the answer is lost or the target is
  * slow, and another target is tried as well. Below the tightest latency
  * objective of callers, above the time that a target's own queue adds under
  * load.
  */
-const SILENCE: Milliseconds = 280;
+const MINIMUM_HEDGE_DELAY_MS: Milliseconds = 280;
 /** Hedge delay of slow statements, in multiples of their expected time. */
-const SILENCE_FACTOR = 4;
+const HEDGE_DELAY_FACTOR = 4;
 /** Errors after which the same statement may be tried at another target. */
 const RETRYABLE = new Set<StatementErrorName>([
   'busy',
@@ -91,33 +91,36 @@
   'notPrepared',
 ]);
 
-interface Progress {
+interface DispatchProgress {
   attempts: number;
   target: string;
   reason: string;
   retryAfter: Milliseconds;
-  readonly tried: Map<string, Milliseconds>;
+  readonly triedTargets: Map<string, Milliseconds>;
 }
 
 /** Creates a local dispatcher. */
 export function createDispatcher(options: DispatcherOptions): LocalDispatcher {
-  const {runtime, isChanging} = options;
+  const {runtime, isPrimaryChanging} = options;
   const {timer} = runtime;
-  const places = createPlaceFinder({runtime, isChanging});
-  const budget = createAttemptBudget();
+  const selector = createTargetSelector({
+    runtime,
+    isPrimaryChanging,
+  });
+  const budget = createRetryBudget();
 
-  function workFor(
-    work: Dispatch,
+  function toTargetWork(
+    request: DispatchRequest,
     after: LogPosition | undefined,
     onSent: () => void,
   ): StatementWork {
-    const {id, route, statement, shape, settings} = work;
+    const {id, route, statement, shape, settings} = request;
     const isBegin = statement.kind === 'begin';
     return {
-      kind: kindOf(work),
+      kind: statementKindOf(request),
       worth: 1 / (1 + route.priority),
-      deadline: work.arrivedAt + route.timeout,
-      user: work.account,
+      deadline: request.arrivedAt + route.timeout,
+      user: request.account,
       settings,
       shape,
       request: {
@@ -125,80 +128,84 @@
         body: statement,
         ...(after === undefined ? {} : {after}),
       },
-      isAbandoned: work.isAbandoned,
+      isAbandoned: request.isAbandoned,
       onSent,
     };
   }
 
-  function start(
-    {link, after}: Place,
-    work: Dispatch,
+  function startAttempt(
+    {link, after}: SelectedTarget,
+    request: DispatchRequest,
     onSent: () => void,
   ): Attempt {
-    const targetWork = workFor(work, after, onSent);
-    return work.statement.kind === 'begin'
-      ? link.pin(targetWork)
-      : mapFuture(link.run(targetWork), outcome => ({
+    const work = toTargetWork(request, after, onSent);
+    return request.statement.kind === 'begin'
+      ? link.pin(work)
+      : mapFuture(link.run(work), outcome => ({
           outcome,
           pinned: undefined,
         }));
   }
 
   /** Runs a statement; an unanswered read gets a second attempt. */
-  function* run(
-    search: PlaceSearch,
-    place: Place,
-    progress: Progress,
+  function* runAttempts(
+    search: TargetSearch,
+    selected: SelectedTarget,
+    progress: DispatchProgress,
   ): Task<PinnedStart> {
-    const {work} = search;
+    const {work: request} = search;
     let sentAt: Milliseconds | undefined;
     let hasEnded = false;
     // An attempt whose answer is no longer needed leaves its queue.
-    const waited = {
-      ...work,
-      isAbandoned: () => hasEnded || work.isAbandoned(),
+    const cancellable = {
+      ...request,
+      isAbandoned: () => hasEnded || request.isAbandoned(),
     };
-    const first = start(place, waited, () => {
+    const first = startAttempt(selected, cancellable, () => {
       sentAt = timer.now();
     });
-    if (work.isWrite) {
+    if (request.isWrite) {
       return yield* waitFor(first);
     }
-    budget.earn();
-    const expected = place.link.expectedTime(kindOf(work));
-    const end = yield* awaitWithSecond({
+    budget.deposit();
+    const expected = selected.link.expectedTime(statementKindOf(request));
+    const end = yield* awaitHedged({
       timer,
       first,
       sentAt: () => sentAt,
-      patience: Math.max(SILENCE, SILENCE_FACTOR * expected),
+      hedgeDelay: Math.max(
+        MINIMUM_HEDGE_DELAY_MS,
+        HEDGE_DELAY_FACTOR * expected,
+      ),
       start() {
-        progress.tried.set(place.link.target, timer.now());
-        const other = places.another(search, place);
-        if (other === undefined || !budget.spend()) {
+        progress.triedTargets.set(selected.link.target, timer.now());
+        const alternative = selector.selectAlternative(search, selected);
+        if (alternative === undefined || !budget.tryWithdraw()) {
           return undefined;
         }
         progress.attempts += 1;
-        progress.reason = `second attempt at ${other.link.target}`;
-        return start(other, waited, () => {});
+        progress.reason = `second attempt at ${alternative.link.target}`;
+        return startAttempt(alternative, cancellable, () => {});
       },
     });
     hasEnded = true;
     return end;
   }
 
-  function* dispatchUnless(
-    work: Dispatch,
-    mayAskElsewhere: () => boolean,
+  function* tryDispatch(
+    request: DispatchRequest,
+    mayTryPeers: () => boolean,
   ): Task<DispatchResult | undefined> {
-    const progress: Progress = {
+    const progress: DispatchProgress = {
       attempts: 0,
       target: '',
       reason: '',
-      retryAfter: DEFAULT_RETRY_AFTER,
-      tried: new Map(),
+      retryAfter: DEFAULT_RETRY_AFTER_MS,
+      triedTargets: new Map(),
     };
-    const until = work.arrivedAt + work.route.timeout * HOLD_SHARE;
-    const group = yield* findGroup(work.route.group, until);
+    const until =
+      request.arrivedAt + request.route.timeout * MAXIMUM_WAIT_RATIO;
+    const group = yield* findGroup(request.route.group, until);
     if (group === undefined) {
       return refuse(progress, 'no targets');
     }
@@ -209,27 +216,33 @@
       }
       const search = {
         group,
-        work,
-        until,
-        triedAt: progress.tried,
-        mayAskElsewhere,
+        work: request,
+        waitUntil: until,
+        triedAt: progress.triedTargets,
+        mayTryPeers,
       };
-      const place = yield* places.find(search);
-      if (place === 'elsewhere') {
+      const selected = yield* selector.find(search);
+      if (selected === 'elsewhere') {
         return undefined;
       }
-      if (place === undefined || 'retryAfter' in place) {
-        progress.retryAfter = place?.retryAfter ?? progress.retryAfter;
+      if (selected === undefined || 'retryAfter' in selected) {
+        progress.retryAfter = selected?.retryAfter ?? progress.retryAfter;
         return refuse(progress, progress.reason || 'no target may run it');
       }
-      progress.target = place.link.target;
-      const {outcome, pinned} = yield* run(search, place, progress);
+      progress.target = selected.link.target;
+      const {outcome, pinned} = yield* runAttempts(search, selected, progress);
       progress.attempts += outcome.kind === 'unreached' ? 0 : 1;
-      const result = conclude(group, work, place.link, outcome, progress);
+      const result = handleOutcome(
+        group,
+        request,
+        selected.link,
+        outcome,
+        progress,
+      );
       if (result !== undefined) {
         return {...result, pinned};
       }
-      yield* sleep(pauseAfter(outcome, progress));
+      yield* sleep(backoffAfter(outcome, progress));
     }
     return refuse(progress, progress.reason);
   }
@@ -240,33 +253,33 @@
     until: Milliseconds,
   ): Task<TargetGroup | undefined> {
     while (options.group(name) === undefined && timer.now() < until) {
-      yield* sleep(RETRY_PAUSE);
+      yield* sleep(RETRY_BACKOFF_MS);
     }
     return options.group(name);
   }
 
-  function pauseAfter(
+  function backoffAfter(
     outcome: StatementOutcome,
-    {reason}: Progress,
+    {reason}: DispatchProgress,
   ): Milliseconds {
     if (outcome.kind === 'unreached') {
-      return REOPEN_PAUSE;
+      return RECONNECT_BACKOFF_MS;
     }
-    return reason === 'lagging' ? 0 : RETRY_PAUSE;
+    return reason === 'lagging' ? 0 : RETRY_BACKOFF_MS;
   }
 
   /** The result of an attempt; undefined to try again. */
-  function conclude(
+  function handleOutcome(
     group: TargetGroup,
-    work: Dispatch,
+    request: DispatchRequest,
     link: TargetLink,
     outcome: StatementOutcome,
-    progress: Progress,
+    progress: DispatchProgress,
   ): DispatchResult | undefined {
-    progress.tried.set(link.target, timer.now());
+    progress.triedTargets.set(link.target, timer.now());
     switch (outcome.kind) {
       case 'answered':
-        return concludeAnswer(group, work, link, outcome.answer, progress);
+        return handleAnswer(group, request, link, outcome.answer, progress);
       case 'refused':
         progress.retryAfter = outcome.retryAfter;
         return refuse(progress, 'overloaded');
@@ -275,30 +288,32 @@
         return undefined;
       case 'lost':
         progress.reason = 'answer lost';
-        return work.isWrite
-          ? end(progress, errorAnswer('inDoubt', 'idle'))
-          : concludeLostRead(work, progress);
+        return request.isWrite
+          ? createResult(progress, errorAnswer('inDoubt', 'idle'))
+          : handleLostRead(request, progress);
     }
   }
 
-  function concludeLostRead(
-    work: Dispatch,
-    progress: Progress,
+  function handleLostRead(
+    request: DispatchRequest,
+    progress: DispatchProgress,
   ): DispatchResult | undefined {
-    const isLate = timer.now() >= work.arrivedAt + work.route.timeout;
-    return isLate ? end(progress, errorAnswer('timedOut', 'idle')) : undefined;
+    const isLate = timer.now() >= request.arrivedAt + request.route.timeout;
+    return isLate
+      ? createResult(progress, errorAnswer('timedOut', 'idle'))
+      : undefined;
   }
 
-  function concludeAnswer(
+  function handleAnswer(
     group: TargetGroup,
-    work: Dispatch,
+    request: DispatchRequest,
     link: TargetLink,
     answer: StatementAnswer,
-    progress: Progress,
+    progress: DispatchProgress,
   ): DispatchResult | undefined {
     const {error} = answer;
     if (error === undefined) {
-      return end(progress, answer);
+      return createResult(progress, answer);
     }
     progress.reason = error.name;
     if (error.name === 'readOnly') {
@@ -306,36 +321,40 @@
       void link.askStatus();
     }
     const mayRetry =
-      RETRYABLE.has(error.name) || (error.name === 'failed' && !work.isWrite);
+      RETRYABLE.has(error.name) ||
+      (error.name === 'failed' && !request.isWrite);
     if (mayRetry) {
       return undefined;
     }
-    return end(progress, errorAnswer(error.name, 'idle'));
+    return createResult(progress, errorAnswer(error.name, 'idle'));
   }
 
-  function end(progress: Progress, answer: StatementAnswer): DispatchResult {
+  function createResult(
+    progress: DispatchProgress,
+    answer: StatementAnswer,
+  ): DispatchResult {
     const {attempts, target, reason} = progress;
     return {answer, target, attempts, reason, via: '', pinned: undefined};
   }
 
-  function refuse(progress: Progress, reason: string): DispatchResult {
+  function refuse(progress: DispatchProgress, reason: string): DispatchResult {
     progress.reason = reason;
-    return end(progress, refusalAnswer(reason, progress.retryAfter));
+    return createResult(progress, refusalAnswer(reason, progress.retryAfter));
   }
 
-  function* dispatch(work: Dispatch): Task<DispatchResult> {
-    const result = yield* dispatchUnless(work, () => false);
+  function* dispatch(request: DispatchRequest): Task<DispatchResult> {
+    const result = yield* tryDispatch(request, () => false);
     // There always is a result if peers may not be tried.
     return result as DispatchResult;
   }
 
   return {
     dispatch,
-    dispatchUnless,
-    notePrimary: places.notePrimary,
-    reaches(work) {
-      const group = options.group(work.route.group);
-      return group !== undefined && places.isExpected(group, work);
+    tryDispatch,
+    observePrimary: selector.observePrimary,
+    canRunNow(request) {
+      const group = options.group(request.route.group);
+      return group !== undefined && selector.canSelectNow(group, request);
     },
   };
 }
--- a/packages/gateway/src/dispatch_types.ts
+++ b/packages/gateway/src/dispatch_types.ts
@@ -13,7 +13,7 @@
 import type {CallerRoute} from './configuration';
 
 /** A statement outside a transaction, or one that begins a transaction. */
-export interface Dispatch {
+export interface DispatchRequest {
   readonly id: string;
   readonly route: CallerRoute;
   /** Client account that is passed to targets; undefined if there is none. */
@@ -45,7 +45,7 @@
 }
 
 /** Time to retry after, for refusals without a better estimate. */
-export const DEFAULT_RETRY_AFTER: Milliseconds = 300;
+export const DEFAULT_RETRY_AFTER_MS: Milliseconds = 300;
 
 /** Answers a statement that has not run with the reason and a time to retry. */
 export function refusalAnswer(
@@ -58,15 +58,19 @@
 
 /** Runs statements at targets that are allowed to run them. */
 export interface Dispatcher {
-  dispatch(work: Dispatch): Task<DispatchResult>;
+  dispatch(request: DispatchRequest): Task<DispatchResult>;
 }
 
 /** Statistics key of statements that are expected to take the same time. */
-export function kindOf({route, statement, isWrite}: Dispatch): string {
-  const sort = isWrite
+export function statementKindOf({
+  route,
+  statement,
+  isWrite,
+}: DispatchRequest): string {
+  const operation = isWrite
     ? 'write'
     : statement.kind === 'begin'
       ? 'begin'
       : 'read';
-  return `${route.database} ${sort}`;
+  return `${route.database} ${operation}`;
 }
--- a/packages/gateway/src/hedged_attempt.ts
+++ b/packages/gateway/src/hedged_attempt.ts
@@ -21,41 +21,41 @@
 export type Attempt = Future<PinnedStart>;
 
 /** Parameters of a hedged attempt. */
-export interface SecondAttemptOptions {
+export interface HedgedAttemptOptions {
   readonly timer: TimerService;
   readonly first: Attempt;
   /** Monotonic time of sending the first; undefined while it is queued. */
   sentAt(): Milliseconds | undefined;
   /** Time from sending the first until the second starts if unanswered. */
-  readonly patience: Milliseconds;
+  readonly hedgeDelay: Milliseconds;
   /** Starts the second; undefined if there is no target or no budget for it. */
   start(): Attempt | undefined;
 }
 
 /** Interval of the check whether the first attempt was sent. */
-const LOOK_PERIOD: Milliseconds = 50;
+const SENT_POLL_INTERVAL_MS: Milliseconds = 50;
 
 /** Limits extra attempts to a small share of all, since they add load. */
-export interface AttemptBudget {
+export interface RetryBudget {
   /** Records a first attempt, which adds a share of an extra one. */
-  earn(): void;
+  deposit(): void;
   /** Takes one extra attempt from the budget; false if none is left. */
-  spend(): boolean;
+  tryWithdraw(): boolean;
 }
 
 /** Extra attempts per first attempt. */
-const BUDGET_SHARE = 0.1;
+const RETRY_RATIO = 0.1;
 /** Limits the burst of extra attempts that may follow a quiet period. */
-const MAXIMUM_SAVED = 20;
+const MAXIMUM_SAVED_RETRIES = 20;
 
 /** Creates a full budget. */
-export function createAttemptBudget(): AttemptBudget {
-  let saved = MAXIMUM_SAVED;
+export function createRetryBudget(): RetryBudget {
+  let saved = MAXIMUM_SAVED_RETRIES;
   return {
-    earn() {
-      saved = Math.min(MAXIMUM_SAVED, saved + BUDGET_SHARE);
+    deposit() {
+      saved = Math.min(MAXIMUM_SAVED_RETRIES, saved + RETRY_RATIO);
     },
-    spend() {
+    tryWithdraw() {
       if (saved < 1) {
         return false;
       }
@@ -65,12 +65,12 @@
   };
 }
 
-function isAnswered({outcome}: PinnedStart): boolean {
+function isSuccessful({outcome}: PinnedStart): boolean {
   return outcome.kind === 'answered' && outcome.answer.error === undefined;
 }
 
 /** The first success; if both fail, the result that came first. */
-function firstSuccess(first: Attempt, second: Attempt): Attempt {
+function awaitFirstSuccess(first: Attempt, second: Attempt): Attempt {
   const result = createDeferred<PinnedStart>();
   const ended: PinnedStart[] = [];
 
@@ -78,8 +78,8 @@
     ended.push(end);
     const isLast = ended.length === 2;
     const isTaken =
-      (isAnswered(end) || isLast) &&
-      result.settle(isAnswered(end) ? end : (ended[0] ?? end));
+      (isSuccessful(end) || isLast) &&
+      result.settle(isSuccessful(end) ? end : (ended[0] ?? end));
     if (!isTaken) {
       end.pinned?.end();
     }
@@ -94,24 +94,22 @@
  * Waits for the first attempt, and for a second one if the first stays
  * unanswered for the hedge delay.
  */
-export function* awaitWithSecond(
-  options: SecondAttemptOptions,
-): Task<PinnedStart> {
-  const {timer, first, patience} = options;
+export function* awaitHedged(options: HedgedAttemptOptions): Task<PinnedStart> {
+  const {timer, first, hedgeDelay} = options;
   for (;;) {
     const sentAt = options.sentAt();
-    const silentUntil = sentAt === undefined ? Infinity : sentAt + patience;
-    const pause = Math.min(LOOK_PERIOD, silentUntil - timer.now());
+    const hedgeAt = sentAt === undefined ? Infinity : sentAt + hedgeDelay;
+    const pause = Math.min(SENT_POLL_INTERVAL_MS, hedgeAt - timer.now());
     const end = yield* waitAtMost(first, Math.max(0, pause));
     if (end !== undefined) {
       return end;
     }
-    if (timer.now() >= silentUntil) {
+    if (timer.now() >= hedgeAt) {
       break;
     }
   }
   const second = options.start();
   return yield* waitFor(
-    second === undefined ? first : firstSuccess(first, second),
+    second === undefined ? first : awaitFirstSuccess(first, second),
   );
 }
--- a/packages/gateway/src/primary_outage.ts
+++ b/packages/gateway/src/primary_outage.ts
@@ -12,9 +12,9 @@
 export type PrimaryState = 'present' | 'leaving' | 'lost';
 
 /** Estimates how long an outage lasts from the durations of earlier ones. */
-export interface PrimaryReturn {
+export interface PrimaryOutageEstimator {
   /** Records whether the group has a primary that accepts statements. */
-  note(group: string, state: PrimaryState, now: Milliseconds): void;
+  recordState(group: string, state: PrimaryState, now: Milliseconds): void;
   /**
    * Time until the group's primary is expected back; 0 if none was lost. A
    * primary that was never known, as after the start, doesn't count as lost.
@@ -27,54 +27,57 @@
  * first be detected, while a planned change starts at once. Too long an
  * estimate refuses statements that could have waited.
  */
-const FIRST_GUESS = {lost: 1000, leaving: 300} as const;
+const INITIAL_ESTIMATES_MS = {lost: 1000, leaving: 300} as const;
 /** Weight of the newest outage; the platform's promotion time varies little. */
-const WEIGHT = 0.5;
+const NEWEST_OUTAGE_WEIGHT = 0.5;
 /**
  * A longer outage indicates a network partition or a failure of the platform,
  * not a change of primary.
  */
-const LONGEST_CHANGE: Milliseconds = 3000;
+const MAXIMUM_FAILOVER_MS: Milliseconds = 3000;
 /** An outage that lasts longer than estimated may end at any time. */
-const LEAST: Milliseconds = 100;
+const MINIMUM_ESTIMATE_MS: Milliseconds = 100;
 
-interface Absence {
+interface PrimaryOutage {
   /** State when the outage began; a leaving primary is soon seen as lost. */
   readonly cause: Exclude<PrimaryState, 'present'>;
   readonly since: Milliseconds;
 }
 
 /** Creates an estimator that knows no primary. */
-export function createPrimaryReturn(): PrimaryReturn {
+export function createPrimaryOutageEstimator(): PrimaryOutageEstimator {
   const hadPrimary = new Set<string>();
-  const absences = new Map<string, Absence>();
-  const typical: Record<Absence['cause'], Milliseconds> = {...FIRST_GUESS};
+  const outages = new Map<string, PrimaryOutage>();
+  const estimates: Record<PrimaryOutage['cause'], Milliseconds> = {
+    ...INITIAL_ESTIMATES_MS,
+  };
 
-  function noteBack(group: string, now: Milliseconds): void {
-    const absence = absences.get(group);
+  function recordReturn(group: string, now: Milliseconds): void {
+    const outage = outages.get(group);
     hadPrimary.add(group);
-    absences.delete(group);
-    if (absence !== undefined && now - absence.since <= LONGEST_CHANGE) {
-      const {cause, since} = absence;
-      typical[cause] += WEIGHT * (now - since - typical[cause]);
+    outages.delete(group);
+    if (outage !== undefined && now - outage.since <= MAXIMUM_FAILOVER_MS) {
+      const {cause, since} = outage;
+      estimates[cause] +=
+        NEWEST_OUTAGE_WEIGHT * (now - since - estimates[cause]);
     }
   }
 
   return {
-    note(group, state, now) {
+    recordState(group, state, now) {
       if (state === 'present') {
-        noteBack(group, now);
-      } else if (hadPrimary.has(group) && !absences.has(group)) {
-        absences.set(group, {cause: state, since: now});
+        recordReturn(group, now);
+      } else if (hadPrimary.has(group) && !outages.has(group)) {
+        outages.set(group, {cause: state, since: now});
       }
     },
     expected(group, now) {
-      const absence = absences.get(group);
-      if (absence === undefined) {
+      const outage = outages.get(group);
+      if (outage === undefined) {
         return 0;
       }
-      const end = absence.since + typical[absence.cause];
-      return Math.max(LEAST, end - now);
+      const end = outage.since + estimates[outage.cause];
+      return Math.max(MINIMUM_ESTIMATE_MS, end - now);
     },
   };
 }
--- a/packages/gateway/src/relay/connection_owners.ts
+++ b/packages/gateway/src/relay/connection_owners.ts
@@ -13,7 +13,7 @@
 import {type GroupSettings, mostHolders} from '@kelpstep/targets';
 
 /** Inputs of the selection. */
-export interface HoldersOptions {
+export interface ConnectionOwnersOptions {
   readonly self: PresentProxy;
   /** Running proxies; a new array after each change. */
   live(): readonly PresentProxy[] | undefined;
@@ -26,78 +26,80 @@
 }
 
 /** The connection owners of each group. */
-export interface Holders {
+export interface ConnectionOwners {
   /** True if this proxy is one; false while the others are unknown. */
-  holds(settings: GroupSettings): boolean;
+  ownsConnections(settings: GroupSettings): boolean;
   /** Number of connection owners; `Infinity` while unknown. */
   count(settings: GroupSettings): number;
   /** True once the running proxies are known. */
   areKnown(): boolean;
   /** True if a running proxy has this relay address, or none is known yet. */
-  isListed(relayAddress: string): boolean;
+  isLive(relayAddress: string): boolean;
   /** Connection owners to relay statements to, without this proxy. */
-  others(settings: GroupSettings): readonly PresentProxy[];
+  otherOwners(settings: GroupSettings): readonly PresentProxy[];
 }
 
-interface Choice {
+interface OwnerSelection {
   readonly count: number;
-  readonly isHolder: boolean;
-  readonly others: readonly PresentProxy[];
+  readonly isOwner: boolean;
+  readonly otherOwners: readonly PresentProxy[];
 }
 
 /** Creates the selection, which is cached for each list of proxies. */
-export function createHolders(options: HoldersOptions): Holders {
+export function createConnectionOwners(
+  options: ConnectionOwnersOptions,
+): ConnectionOwners {
   const {self} = options;
-  let chosenFrom: readonly PresentProxy[] | undefined;
-  let chosenWithout: ReadonlySet<string> | undefined;
-  let reached: readonly PresentProxy[] = [];
+  let selectedFrom: readonly PresentProxy[] | undefined;
+  let selectedWithout: ReadonlySet<string> | undefined;
+  let reachable: readonly PresentProxy[] = [];
   let candidates: CandidateSet<PresentProxy> | undefined;
-  const chosen = new Map<string, Choice>();
+  const selections = new Map<string, OwnerSelection>();
 
-  function choose(group: string, most: number): Choice {
-    let holders = reached;
-    if (reached.length > most) {
-      candidates ??= createCandidateSet(reached);
-      holders = pickResponsible(group, candidates, most);
+  function selectOwners(group: string, maximum: number): OwnerSelection {
+    let owners = reachable;
+    if (reachable.length > maximum) {
+      candidates ??= createCandidateSet(reachable);
+      owners = pickResponsible(group, candidates, maximum);
     }
-    const others = holders.filter(({proxy}) => proxy !== self.proxy);
+    const others = owners.filter(({proxy}) => proxy !== self.proxy);
     return {
-      count: holders.length,
-      isHolder: others.length < holders.length,
-      others: others.filter(({relayAddress}) => relayAddress !== ''),
+      count: owners.length,
+      isOwner: others.length < owners.length,
+      otherOwners: others.filter(({relayAddress}) => relayAddress !== ''),
     };
   }
 
-  function choiceFor({
+  function selectionFor({
     group,
     connectionLimit,
-  }: GroupSettings): Choice | undefined {
+  }: GroupSettings): OwnerSelection | undefined {
     const live = options.live();
     const lost = options.lost();
     if (live === undefined) {
       return undefined;
     }
-    if (live !== chosenFrom || lost !== chosenWithout) {
-      chosenFrom = live;
-      chosenWithout = lost;
-      reached = live.filter(({relayAddress}) => !lost.has(relayAddress));
+    if (live !== selectedFrom || lost !== selectedWithout) {
+      selectedFrom = live;
+      selectedWithout = lost;
+      reachable = live.filter(({relayAddress}) => !lost.has(relayAddress));
       candidates = undefined;
-      chosen.clear();
+      selections.clear();
     }
-    const most = mostHolders(connectionLimit);
-    const key = `${group} ${most}`;
-    const known = chosen.get(key) ?? choose(group, most);
-    chosen.set(key, known);
-    return known;
+    const maximum = mostHolders(connectionLimit);
+    const key = `${group} ${maximum}`;
+    const selection = selections.get(key) ?? selectOwners(group, maximum);
+    selections.set(key, selection);
+    return selection;
   }
 
   return {
-    holds: settings => choiceFor(settings)?.isHolder ?? false,
+    ownsConnections: settings => selectionFor(settings)?.isOwner ?? false,
     areKnown: () => options.live() !== undefined,
-    isListed: address =>
+    isLive: address =>
       options.live()?.some(({relayAddress}) => relayAddress === address) ??
       true,
-    count: settings => choiceFor(settings)?.count ?? Infinity,
-    others: settings => choiceFor(settings)?.others ?? [],
+    count: settings => selectionFor(settings)?.count ?? Infinity,
+    otherOwners: settings => selectionFor(settings)?.otherOwners ?? [],
   };
 }
--- a/packages/gateway/src/relay/create_relay.ts
+++ b/packages/gateway/src/relay/create_relay.ts
@@ -11,8 +11,8 @@
 import type {GatewayRelay} from '../create_gateway';
 import type {LocalDispatcher} from '../dispatch';
 import type {GatewayEvents} from '../gateway_events';
-import type {Holders} from './connection_owners';
-import {type LeaderCheck, createLeaderCheck} from './primary_check';
+import type {ConnectionOwners} from './connection_owners';
+import {type PrimaryCheck, createPrimaryCheck} from './primary_check';
 import {type RelayClient, createRelayClient} from './relay_client';
 import {createRelayServer} from './relay_server';
 import {createRelayingDispatcher} from './relaying_dispatcher';
@@ -23,14 +23,14 @@
   readonly transport: Transport;
   readonly self: PresentProxy;
   readonly local: LocalDispatcher;
-  readonly holders: Holders;
+  readonly connectionOwners: ConnectionOwners;
   readonly events: GatewayEvents;
   settings(group: string): GroupSettings | undefined;
   /** True if the group's primary has recently answered this proxy. */
-  reachesLeader(group: string): boolean;
+  reachesPrimary(group: string): boolean;
   isStopping(): boolean;
   /** Registers further request handlers for other proxies. */
-  serveOthers(handlers: HandlerTable): void;
+  registerHandlers(handlers: HandlerTable): void;
   /** The relay address could not be listened on. */
   onListenFailure(message: string): void;
 }
@@ -38,7 +38,7 @@
 /** A running relay. */
 export interface Relay extends GatewayRelay {
   /** Whether another proxy reaches the group's primary. */
-  readonly isLeaderReached: LeaderCheck;
+  readonly isPrimaryReachedByPeer: PrimaryCheck;
   readonly request: RelayClient['request'];
   readonly isUsable: RelayClient['isUsable'];
   /** Relay addresses of proxies that have been unreachable for some time. */
@@ -47,36 +47,37 @@
 
 /** Creates a relay and starts to listen for other proxies. */
 export function createRelay(options: RelayOptions): Relay {
-  const {runtime, transport, self, local, holders, events} = options;
+  const {runtime, transport, self, local, connectionOwners, events} = options;
   const client = createRelayClient({
     runtime,
     transport,
     self: self.proxy,
-    isListed: holders.isListed,
+    isLive: connectionOwners.isLive,
   });
   const server = createRelayServer({
     runtime,
     local,
     events,
-    reachesLeader: options.reachesLeader,
+    reachesPrimary: options.reachesPrimary,
     isStopping: options.isStopping,
-    serveOthers: options.serveOthers,
+    registerHandlers: options.registerHandlers,
   });
 
   function peers(group: string): readonly PresentProxy[] {
     const settings = options.settings(group);
-    return settings === undefined ? [] : holders.others(settings);
+    return settings === undefined ? [] : connectionOwners.otherOwners(settings);
   }
 
   const dispatcher = createRelayingDispatcher({
     runtime,
     local,
     client,
-    place: self,
-    holds(group) {
+    location: self,
+    ownsConnections(group) {
       const settings = options.settings(group);
-      const isLeft = holders.areKnown() && settings !== undefined;
-      return !isLeft || holders.holds(settings);
+      const isLeftToOthers =
+        connectionOwners.areKnown() && settings !== undefined;
+      return !isLeftToOthers || connectionOwners.ownsConnections(settings);
     },
     peers,
   });
@@ -92,10 +93,10 @@
     stopListening();
   }
 
-  const isLeaderReached = createLeaderCheck({runtime, client, peers});
+  const isPrimaryReachedByPeer = createPrimaryCheck({runtime, client, peers});
   return {
     dispatcher,
-    isLeaderReached,
+    isPrimaryReachedByPeer,
     request: client.request,
     isUsable: client.isUsable,
     lost: client.lost,
--- a/packages/gateway/src/relay/peer_order.ts
+++ b/packages/gateway/src/relay/peer_order.ts
@@ -3,22 +3,24 @@
 import type {PresentProxy} from '@kelpstep/table-feed';
 
 /** Location of a proxy. */
-export type ProxyPlace = Pick<PresentProxy, 'dataCentre' | 'region'>;
+export type ProxyLocation = Pick<PresentProxy, 'dataCentre' | 'region'>;
 
 /** Round trips by distance; only their order of magnitude matters. */
-const SAME_DATA_CENTRE: Milliseconds = 1;
-const SAME_REGION: Milliseconds = 2;
-const OTHER_REGION: Milliseconds = 40;
+const SAME_DATA_CENTRE_ROUND_TRIP_MS: Milliseconds = 1;
+const SAME_REGION_ROUND_TRIP_MS: Milliseconds = 2;
+const OTHER_REGION_ROUND_TRIP_MS: Milliseconds = 40;
 
 /** Expected network round trip between two locations. */
 export function roundTripBetween(
-  from: ProxyPlace,
-  to: ProxyPlace,
+  from: ProxyLocation,
+  to: ProxyLocation,
 ): Milliseconds {
   if (from.dataCentre === to.dataCentre) {
-    return SAME_DATA_CENTRE;
+    return SAME_DATA_CENTRE_ROUND_TRIP_MS;
   }
-  return from.region === to.region ? SAME_REGION : OTHER_REGION;
+  return from.region === to.region
+    ? SAME_REGION_ROUND_TRIP_MS
+    : OTHER_REGION_ROUND_TRIP_MS;
 }
 
 function sortBy(
@@ -47,7 +49,7 @@
 }
 
 /** Ranks a slow peer behind all others. */
-const SLOW_RANK: Milliseconds = 1000;
+const SLOW_PEER_PENALTY_MS: Milliseconds = 1000;
 
 /**
  * Orders the nearest peers first, so that few statements cross regions, and
@@ -61,6 +63,6 @@
 ): PresentProxy[] {
   return sortBy(peers, peer => {
     const {roundTrip, isSlow} = rankOf(peer);
-    return roundTrip + random.fraction() + (isSlow ? SLOW_RANK : 0);
+    return roundTrip + random.fraction() + (isSlow ? SLOW_PEER_PENALTY_MS : 0);
   });
 }
--- a/packages/gateway/src/relay/peer_reachability.ts
+++ b/packages/gateway/src/relay/peer_reachability.ts
@@ -18,15 +18,15 @@
 export interface PeerReachabilityOptions {
   readonly runtime: Runtime;
   /** Sends a heartbeat request to an address; true if it is answered. */
-  isAnswering(address: string): Future<boolean>;
+  sendHeartbeat(address: string): Future<boolean>;
   /** False once no running proxy has the address. */
-  isListed(address: string): boolean;
+  isLive(address: string): boolean;
 }
 
 /** Tracks which proxies are reachable. */
 export interface PeerReachability {
   /** Records that a connection to the address failed or was lost. */
-  noteFailure(address: string): void;
+  recordFailure(address: string): void;
   /** False from a failure until the address is reached again. */
   isUsable(address: string): boolean;
   /** Addresses unreachable for `LOST_AFTER_MS`; a new set after each change. */
@@ -38,18 +38,18 @@
  * soon, and at most two attempts per second for one that is partitioned or
  * stopped.
  */
-const PAUSES: RetryPauseBounds = {first: 100, longest: 500};
+const RETRY_BACKOFF: RetryPauseBounds = {first: 100, longest: 500};
 /**
  * Time after which another proxy replaces an unreachable connection owner. A
  * killed process restarts within about a second.
  */
-const LOST_AFTER: Milliseconds = 1200;
+const LOST_AFTER_MS: Milliseconds = 1200;
 
 /** Creates a tracker; all proxies count as reachable at first. */
 export function createPeerReachability(
   options: PeerReachabilityOptions,
 ): PeerReachability {
-  const {runtime, isAnswering, isListed} = options;
+  const {runtime, sendHeartbeat, isLive} = options;
   const {timer, random} = runtime;
   const failing = new Set<string>();
   let lost: ReadonlySet<string> = new Set();
@@ -67,27 +67,30 @@
     lost = next;
   }
 
-  function forget(address: string): void {
+  function clearFailure(address: string): void {
     failing.delete(address);
     setLost(address, false);
   }
 
-  function* tryAgain(address: string, since: Milliseconds): Task<void> {
-    for (let failures = 0; isListed(address); failures++) {
-      yield* sleep(retryPause(PAUSES, failures, random));
-      if (yield* waitFor(isAnswering(address))) {
+  function* retryUntilReached(
+    address: string,
+    since: Milliseconds,
+  ): Task<void> {
+    for (let failures = 0; isLive(address); failures++) {
+      yield* sleep(retryPause(RETRY_BACKOFF, failures, random));
+      if (yield* waitFor(sendHeartbeat(address))) {
         break;
       }
-      setLost(address, timer.now() - since >= LOST_AFTER);
+      setLost(address, timer.now() - since >= LOST_AFTER_MS);
     }
-    forget(address);
+    clearFailure(address);
   }
 
   return {
-    noteFailure(address) {
+    recordFailure(address) {
       if (!failing.has(address)) {
         failing.add(address);
-        runtime.spawn('reach peer', tryAgain(address, timer.now()));
+        runtime.spawn('reach peer', retryUntilReached(address, timer.now()));
       }
     },
     isUsable: address => !failing.has(address),
--- a/packages/gateway/src/relay/primary_check.ts
+++ b/packages/gateway/src/relay/primary_check.ts
@@ -9,7 +9,7 @@
 import type {RelayClient} from './relay_client';
 
 /** Dependencies of the check. */
-export interface LeaderCheckOptions {
+export interface PrimaryCheckOptions {
   readonly runtime: Runtime;
   readonly client: RelayClient;
   /** The group's connection owners, without this proxy. */
@@ -17,28 +17,28 @@
 }
 
 /** True if another proxy reaches the group's primary. */
-export type LeaderCheck = (group: string) => Task<boolean>;
+export type PrimaryCheck = (group: string) => Task<boolean>;
 
 /**
  * Number of peers that are requested at once. If half of all proxies are
  * partitioned from the primary, all of these are in 1 case out of 64.
  */
-const MAXIMUM_ASKED = 6;
+const MAXIMUM_PEERS = 6;
 
 /** Creates a check that uses the client's connections. */
-export function createLeaderCheck(options: LeaderCheckOptions): LeaderCheck {
+export function createPrimaryCheck(options: PrimaryCheckOptions): PrimaryCheck {
   const {random} = options.runtime;
   const {client} = options;
 
-  return function* isReachedElsewhere(group) {
-    const usable = options
+  return function* isReachedByPeer(group) {
+    const usablePeers = options
       .peers(group)
       .filter(({relayAddress}) => client.isUsable(relayAddress));
-    const asked = inRandomOrder(random, usable)
-      .slice(0, MAXIMUM_ASKED)
-      .map(({relayAddress}) => client.reachesLeader(relayAddress, group));
+    const answers = inRandomOrder(random, usablePeers)
+      .slice(0, MAXIMUM_PEERS)
+      .map(({relayAddress}) => client.reachesPrimary(relayAddress, group));
     let isReached = false;
-    for (const answer of asked) {
+    for (const answer of answers) {
       isReached = (yield* waitFor(answer)) || isReached;
     }
     return isReached;
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -21,7 +21,7 @@
 import type {PinnedConnection} from '@kelpstep/targets';
 import {Err, Ok, type Result} from 'ts-results';
 
-import type {Dispatch, DispatchResult} from '../dispatch_types';
+import type {DispatchRequest, DispatchResult} from '../dispatch_types';
 import {createPeerReachability} from './peer_reachability';
 import {
   type PinnedResult,
@@ -44,7 +44,7 @@
   | {readonly kind: 'lost'};
 
 /** Another proxy that may run statements. */
-export interface RelayTarget {
+export interface RelayPeer {
   readonly proxy: string;
   readonly relayAddress: string;
 }
@@ -56,18 +56,18 @@
   /** Name of this proxy. */
   readonly self: string;
   /** False once no running proxy has the address. */
-  isListed(address: string): boolean;
+  isLive(address: string): boolean;
 }
 
 /** Sends statements to other proxies. */
 export interface RelayClient {
   dispatch(
-    to: RelayTarget,
-    work: Dispatch,
+    relayPeer: RelayPeer,
+    request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome>;
   /** Whether the other proxy reaches the group's primary; false if unknown. */
-  reachesLeader(address: string, group: string): Future<boolean>;
+  reachesPrimary(address: string, group: string): Future<boolean>;
   /** Sends another proxy a request that is not a statement. */
   request<P, R>(
     address: string,
@@ -83,24 +83,24 @@
 }
 
 /** Some round trips between regions, to connect to another proxy. */
-const CONNECT_TIMEOUT: Milliseconds = 300;
+const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 /** Added to a statement's timeout for the network delay of the answer. */
-const ANSWER_ALLOWANCE: Milliseconds = 60;
+const ANSWER_MARGIN_MS: Milliseconds = 60;
 /** Interval of the check whether the caller still waits. */
-const ABANDON_CHECK: Milliseconds = 100;
+const ABANDON_CHECK_INTERVAL_MS: Milliseconds = 100;
 /** Interval of heartbeats to a proxy that runs statements for this one. */
-const PING_PERIOD: Milliseconds = 250;
+const HEARTBEAT_INTERVAL_MS: Milliseconds = 250;
 /**
  * Timeout of a heartbeat. With `HEARTBEAT_INTERVAL_MS`, an unresponsive
  * connection is detected within a second.
  */
-const PING_TIMEOUT: Milliseconds = 600;
+const HEARTBEAT_TIMEOUT_MS: Milliseconds = 600;
 
 /** A round trip between regions, one more to connect, and a busy peer. */
-const LEADER_TIMEOUT: Milliseconds = 150;
+const PRIMARY_CHECK_TIMEOUT_MS: Milliseconds = 150;
 
 /** A connection and the number of statements and transactions on it. */
-interface Use {
+interface PeerUsage {
   readonly peer: RpcPeer;
   count: number;
 }
@@ -113,74 +113,77 @@
   const reachability = createPeerReachability({
     runtime,
     // A frozen process accepts connections but answers nothing.
-    isAnswering: address =>
+    sendHeartbeat: address =>
       mapFuture(
-        links.request(address, relayPing, {}, CONNECT_TIMEOUT),
+        links.request(address, relayPing, {}, CONNECT_TIMEOUT_MS),
         ({ok}) => ok,
       ),
-    isListed: options.isListed,
+    isLive: options.isLive,
   });
-  const uses = new Map<RpcPeer, Use>();
-  let nextWork = 1;
+  const usages = new Map<RpcPeer, PeerUsage>();
+  let nextRequestNumber = 1;
 
-  function use(address: string, peer: RpcPeer): void {
-    const known = uses.get(peer);
-    if (known !== undefined) {
-      known.count += 1;
+  function acquire(address: string, peer: RpcPeer): void {
+    const usage = usages.get(peer);
+    if (usage !== undefined) {
+      usage.count += 1;
       return;
     }
-    const added: Use = {peer, count: 1};
-    uses.set(peer, added);
-    const pinging = runtime.spawn('ping', keepAsking(address, added));
+    const created: PeerUsage = {peer, count: 1};
+    usages.set(peer, created);
+    const heartbeats = runtime.spawn('ping', sendHeartbeats(address, created));
     peer.closed.onSettled(() => {
-      uses.delete(peer);
-      pinging.cancel();
-      reachability.noteFailure(address);
+      usages.delete(peer);
+      heartbeats.cancel();
+      reachability.recordFailure(address);
     });
   }
 
   function release(peer: RpcPeer): void {
-    const known = uses.get(peer);
-    if (known !== undefined) {
-      known.count -= 1;
+    const usage = usages.get(peer);
+    if (usage !== undefined) {
+      usage.count -= 1;
     }
   }
 
   /** Closes a connection that is unresponsive while it is in use. */
-  function* keepAsking(address: string, used: Use): Task<void> {
-    const {peer} = used;
+  function* sendHeartbeats(address: string, usage: PeerUsage): Task<void> {
+    const {peer} = usage;
     for (;;) {
-      yield* sleep(PING_PERIOD);
-      if (used.count === 0) {
+      yield* sleep(HEARTBEAT_INTERVAL_MS);
+      if (usage.count === 0) {
         continue;
       }
       // Marks the connection as used, so that it stays open in long
       // transactions.
-      void links.connect(address, CONNECT_TIMEOUT);
-      const askedAt = timer.now();
-      const reply = yield* waitFor(peer.request(relayPing, {}, PING_TIMEOUT));
-      if (reply.err && peer.lastHeardAt() < askedAt) {
+      void links.connect(address, CONNECT_TIMEOUT_MS);
+      const sentAt = timer.now();
+      const reply = yield* waitFor(
+        peer.request(relayPing, {}, HEARTBEAT_TIMEOUT_MS),
+      );
+      if (reply.err && peer.lastHeardAt() < sentAt) {
         peer.close('silent');
         return;
       }
     }
   }
 
-  function messageFor(
-    work: Dispatch,
-    number: number,
+  function toMessage(
+    request: DispatchRequest,
+    requestNumber: number,
     mayWait: boolean,
     remaining: Milliseconds,
   ): RelayedStatement {
-    const {id, route, account, statement, shape, settings, lastCommit} = work;
-    const {needsPrimary, isWrite} = work;
+    const {id, route, account, statement, shape, settings, lastCommit} =
+      request;
+    const {needsPrimary, isWrite} = request;
     return {
-      work: number,
+      work: requestNumber,
       sender: self,
       id,
       route: {...route, timeout: remaining},
       ...(account === undefined ? {} : {account}),
-      statement: asRelayed(statement),
+      statement: toRelayedStatement(statement),
       ...(shape === undefined ? {} : {shape}),
       values: [...settings.values],
       ...(lastCommit === undefined ? {} : {lastCommit}),
@@ -190,29 +193,29 @@
     };
   }
 
-  function pin(
+  function createRemotePinned(
     peer: RpcPeer,
-    number: number,
+    requestNumber: number,
     target: string,
-    {settings}: Dispatch,
+    {settings}: DispatchRequest,
   ): PinnedConnection {
     let isEnded = false;
 
     function send(
       {id = '', body}: TargetRequest,
-      shape: Dispatch['shape'],
+      shape: DispatchRequest['shape'],
       timeout: Milliseconds,
     ) {
       const message = {
-        work: number,
+        work: requestNumber,
         id,
-        statement: asRelayed(body as SessionStatement),
+        statement: toRelayedStatement(body as SessionStatement),
         ...(shape === undefined ? {} : {shape}),
         values: [...settings.values],
         timeout,
       };
       return mapFuture(
-        peer.request(relayPinned, message, timeout + ANSWER_ALLOWANCE),
+        peer.request(relayPinned, message, timeout + ANSWER_MARGIN_MS),
         readPinned,
       );
     }
@@ -223,7 +226,7 @@
       end() {
         if (!isEnded) {
           isEnded = true;
-          peer.notify(RELAY_END, {work: number});
+          peer.notify(RELAY_END, {work: requestNumber});
           release(peer);
         }
       },
@@ -233,27 +236,27 @@
   /** Waits for the answer, and notifies the peer once the caller has left. */
   function* awaitReply(
     reply: Future<Result<RelayResult, RequestFailure>>,
-    work: Dispatch,
-    leave: () => void,
+    request: DispatchRequest,
+    notifyEnd: () => void,
   ): Task<Result<RelayResult, RequestFailure>> {
-    let hasLeft = false;
+    let hasNotified = false;
     for (;;) {
-      const result = yield* waitAtMost(reply, ABANDON_CHECK);
+      const result = yield* waitAtMost(reply, ABANDON_CHECK_INTERVAL_MS);
       if (result !== undefined) {
         return result;
       }
-      if (!hasLeft && work.isAbandoned()) {
-        hasLeft = true;
-        leave();
+      if (!hasNotified && request.isAbandoned()) {
+        hasNotified = true;
+        notifyEnd();
       }
     }
   }
 
-  function conclude(
-    to: RelayTarget,
+  function toOutcome(
+    relayPeer: RelayPeer,
     peer: RpcPeer,
-    number: number,
-    work: Dispatch,
+    requestNumber: number,
+    request: DispatchRequest,
     reply: RelayResult,
   ): RelayOutcome {
     if (reply.kind === 'notRun') {
@@ -269,58 +272,60 @@
       target,
       attempts,
       reason,
-      via: to.proxy,
-      pinned: isPinned ? pin(peer, number, target, work) : undefined,
+      via: relayPeer.proxy,
+      pinned: isPinned
+        ? createRemotePinned(peer, requestNumber, target, request)
+        : undefined,
     };
     return {kind: 'ended', result};
   }
 
   function* dispatch(
-    to: RelayTarget,
-    work: Dispatch,
+    relayPeer: RelayPeer,
+    request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome> {
-    const address = to.relayAddress;
-    const opened = yield* waitFor(links.connect(address, CONNECT_TIMEOUT));
+    const address = relayPeer.relayAddress;
+    const opened = yield* waitFor(links.connect(address, CONNECT_TIMEOUT_MS));
     if (opened.err) {
-      reachability.noteFailure(address);
-      return {kind: 'notRun', reason: `${to.proxy} not reached`};
+      reachability.recordFailure(address);
+      return {kind: 'notRun', reason: `${relayPeer.proxy} not reached`};
     }
     const peer = opened.val;
-    const remaining = work.arrivedAt + work.route.timeout - timer.now();
+    const remaining = request.arrivedAt + request.route.timeout - timer.now();
     if (remaining <= 0) {
       return {kind: 'notRun', reason: 'too late'};
     }
-    const number = nextWork++;
-    const leave = () => peer.notify(RELAY_END, {work: number});
-    const message = messageFor(work, number, mayWait, remaining);
-    use(address, peer);
+    const requestNumber = nextRequestNumber++;
+    const notifyEnd = () => peer.notify(RELAY_END, {work: requestNumber});
+    const message = toMessage(request, requestNumber, mayWait, remaining);
+    acquire(address, peer);
     const sent = peer.request(
       relayStatement,
       message,
-      remaining + ANSWER_ALLOWANCE,
+      remaining + ANSWER_MARGIN_MS,
     );
-    const reply = yield* awaitReply(sent, work, leave);
+    const reply = yield* awaitReply(sent, request, notifyEnd);
     if (reply.ok) {
-      return conclude(to, peer, number, work, reply.val);
+      return toOutcome(relayPeer, peer, requestNumber, request, reply.val);
     }
     release(peer);
     const {kind, sent: isSent} = reply.val;
     if (!isSent || kind === 'refused') {
-      return {kind: 'notRun', reason: `refused by ${to.proxy}`};
+      return {kind: 'notRun', reason: `refused by ${relayPeer.proxy}`};
     }
-    leave();
+    notifyEnd();
     return {kind: 'lost'};
   }
 
-  function reachesLeader(address: string, group: string): Future<boolean> {
+  function reachesPrimary(address: string, group: string): Future<boolean> {
     return mapFuture(
-      links.request(address, relayLeader, {group}, LEADER_TIMEOUT),
+      links.request(address, relayLeader, {group}, PRIMARY_CHECK_TIMEOUT_MS),
       reply => reply.ok && reply.val.isReached,
     );
   }
 
-  function request<P, R>(
+  function sendRequest<P, R>(
     address: string,
     method: Method<P, R>,
     parameters: P,
@@ -329,7 +334,7 @@
     const reply = links.request(address, method, parameters, timeout);
     reply.onSettled(result => {
       if (result.err && result.val.kind !== 'refused') {
-        reachability.noteFailure(address);
+        reachability.recordFailure(address);
       }
     });
     return reply;
@@ -337,8 +342,8 @@
 
   return {
     dispatch,
-    request,
-    reachesLeader,
+    request: sendRequest,
+    reachesPrimary,
     isUsable: reachability.isUsable,
     lost: reachability.lost,
     close: links.close,
@@ -352,7 +357,9 @@
 }
 
 /** Statements that only change the session are never sent to other proxies. */
-function asRelayed(statement: SessionStatement): RelayedStatement['statement'] {
+function toRelayedStatement(
+  statement: SessionStatement,
+): RelayedStatement['statement'] {
   switch (statement.kind) {
     case 'set':
     case 'prepare':
--- a/packages/gateway/src/relay/relay_server.ts
+++ b/packages/gateway/src/relay/relay_server.ts
@@ -26,7 +26,7 @@
 import {Ok} from 'ts-results';
 
 import type {LocalDispatcher} from '../dispatch';
-import type {Dispatch, DispatchResult} from '../dispatch_types';
+import type {DispatchRequest, DispatchResult} from '../dispatch_types';
 import type {GatewayEvents} from '../gateway_events';
 import {
   type PinnedResult,
@@ -47,11 +47,11 @@
   readonly local: LocalDispatcher;
   readonly events: GatewayEvents;
   /** True if the group's primary has recently answered this proxy. */
-  reachesLeader(group: string): boolean;
+  reachesPrimary(group: string): boolean;
   /** True once this proxy is stopping and accepts no new requests. */
   isStopping(): boolean;
   /** Registers further request handlers for other proxies. */
-  serveOthers(handlers: HandlerTable): void;
+  registerHandlers(handlers: HandlerTable): void;
 }
 
 /** Runs requests of other proxies. */
@@ -62,7 +62,7 @@
 }
 
 /** A statement or transaction of another proxy. */
-interface RelayedWork {
+interface RelayedRequest {
   readonly settings: SessionSettings;
   pinned: PinnedConnection | undefined;
   isEnded: boolean;
@@ -73,16 +73,19 @@
  * that is silent for longer is considered stopped, and its transactions are
  * rolled back.
  */
-const SENDER_SILENCE: Milliseconds = 2000;
-const SILENCE_CHECK: Milliseconds = 500;
+const SENDER_TIMEOUT_MS: Milliseconds = 2000;
+const SENDER_CHECK_INTERVAL_MS: Milliseconds = 500;
 
 /** Creates a server without connections. */
 export function createRelayServer(options: RelayServerOptions): RelayServer {
   const {runtime, local, events} = options;
   const {timer} = runtime;
-  const senders = new Set<ReadonlyMap<number, RelayedWork>>();
+  const senders = new Set<ReadonlyMap<number, RelayedRequest>>();
 
-  function toDispatch(message: RelayedStatement, work: RelayedWork): Dispatch {
+  function toDispatchRequest(
+    message: RelayedStatement,
+    request: RelayedRequest,
+  ): DispatchRequest {
     const {id, route, account, statement, shape, lastCommit} = message;
     const {needsPrimary, isWrite} = message;
     return {
@@ -91,12 +94,12 @@
       account,
       statement,
       shape,
-      settings: work.settings,
+      settings: request.settings,
       arrivedAt: timer.now(),
       lastCommit,
       needsPrimary,
       isWrite,
-      isAbandoned: () => work.isEnded,
+      isAbandoned: () => request.isEnded,
     };
   }
 
@@ -122,15 +125,15 @@
   }
 
   function accept(connection: Connection): void {
-    const works = new Map<number, RelayedWork>();
-    senders.add(works);
-
-    function end(number: number): void {
-      const work = works.get(number);
-      works.delete(number);
-      if (work !== undefined) {
-        work.isEnded = true;
-        work.pinned?.end();
+    const requests = new Map<number, RelayedRequest>();
+    senders.add(requests);
+
+    function end(requestNumber: number): void {
+      const request = requests.get(requestNumber);
+      requests.delete(requestNumber);
+      if (request !== undefined) {
+        request.isEnded = true;
+        request.pinned?.end();
       }
     }
 
@@ -139,36 +142,40 @@
       result: Deferred<RelayResult>,
     ): Task<void> {
       const settings = createSessionSettings();
-      const work: RelayedWork = {settings, pinned: undefined, isEnded: false};
-      takeValues(settings, message.values);
-      const dispatch = toDispatch(message, work);
+      const request: RelayedRequest = {
+        settings,
+        pinned: undefined,
+        isEnded: false,
+      };
+      applyValues(settings, message.values);
+      const dispatchRequest = toDispatchRequest(message, request);
       if (options.isStopping()) {
         result.settle({kind: 'notRun', reason: 'stopping'});
         return;
       }
-      if (!message.mayWait && !local.reaches(dispatch)) {
+      if (!message.mayWait && !local.canRunNow(dispatchRequest)) {
         result.settle({kind: 'notRun', reason: 'not reached'});
         return;
       }
-      works.set(message.work, work);
-      const outcome = yield* local.dispatch(dispatch);
-      report(message, outcome, dispatch.arrivedAt);
-      result.settle(conclude(message.work, work, outcome));
+      requests.set(message.work, request);
+      const outcome = yield* local.dispatch(dispatchRequest);
+      report(message, outcome, dispatchRequest.arrivedAt);
+      result.settle(toResult(message.work, request, outcome));
     }
 
-    function conclude(
-      number: number,
-      work: RelayedWork,
+    function toResult(
+      requestNumber: number,
+      request: RelayedRequest,
       {answer, target, attempts, reason, pinned}: DispatchResult,
     ): RelayResult {
-      if (work.isEnded) {
+      if (request.isEnded) {
         pinned?.end();
       } else if (pinned === undefined) {
-        works.delete(number);
+        requests.delete(requestNumber);
       } else {
-        work.pinned = pinned;
+        request.pinned = pinned;
       }
-      const isPinned = work.pinned !== undefined;
+      const isPinned = request.pinned !== undefined;
       return {kind: 'ended', answer, target, attempts, reason, isPinned};
     }
 
@@ -176,15 +183,15 @@
       message: PinnedStatement,
       result: Deferred<PinnedResult>,
     ): Task<void> {
-      const work = works.get(message.work);
-      if (work?.pinned === undefined) {
+      const request = requests.get(message.work);
+      if (request?.pinned === undefined) {
         result.settle({kind: 'lost'});
         return;
       }
-      takeValues(work.settings, message.values);
+      applyValues(request.settings, message.values);
       const {id, statement, shape, timeout} = message;
       const reply = yield* waitFor(
-        work.pinned.send({id, body: statement}, shape, timeout),
+        request.pinned.send({id, body: statement}, shape, timeout),
       );
       result.settle(
         reply.ok ? {kind: 'answered', answer: reply.val} : {kind: 'lost'},
@@ -205,10 +212,10 @@
         spawnFor<PinnedResult>(result => servePinned(message, result)),
       )
       .handle(relayLeader, ({group}) =>
-        settledFuture(Ok({isReached: options.reachesLeader(group)})),
+        settledFuture(Ok({isReached: options.reachesPrimary(group)})),
       )
       .handle(relayPing, () => settledFuture(Ok({})));
-    options.serveOthers(handlers);
+    options.registerHandlers(handlers);
     const peer = createRpcPeer({connection, timer, handlers});
     peer.onNotification(RELAY_END, parameters => {
       // An invalid message is ignored; the sender timeout covers its loss.
@@ -218,31 +225,32 @@
       }
     });
 
-    function* watchSilence(): Task<void> {
+    function* closeUnresponsive(): Task<void> {
       while (!peer.closed.isSettled()) {
-        yield* sleep(SILENCE_CHECK);
+        yield* sleep(SENDER_CHECK_INTERVAL_MS);
         const silence = timer.now() - peer.lastHeardAt();
-        if (works.size > 0 && silence > SENDER_SILENCE) {
+        if (requests.size > 0 && silence > SENDER_TIMEOUT_MS) {
           peer.close('silent');
         }
       }
     }
 
-    runtime.spawn('sender silence', watchSilence());
+    runtime.spawn('sender silence', closeUnresponsive());
     peer.closed.onSettled(() => {
-      [...works.keys()].forEach(end);
-      senders.delete(works);
+      [...requests.keys()].forEach(end);
+      senders.delete(requests);
     });
   }
 
   return {
     accept,
-    pending: () => [...senders].reduce((sum, works) => sum + works.size, 0),
+    pending: () =>
+      [...senders].reduce((sum, requests) => sum + requests.size, 0),
   };
 }
 
 /** Applies the session's current settings; settings are never removed. */
-function takeValues(
+function applyValues(
   {values}: SessionSettings,
   next: ReadonlyArray<readonly [string, string]>,
 ): void {
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -9,17 +9,17 @@
 
 import type {LocalDispatcher} from '../dispatch';
 import {
-  DEFAULT_RETRY_AFTER,
-  type Dispatch,
+  DEFAULT_RETRY_AFTER_MS,
+  type DispatchRequest,
   type DispatchResult,
   type Dispatcher,
   refusalAnswer,
 } from '../dispatch_types';
-import {createAttemptBudget} from '../hedged_attempt';
-import {type LoadedPeer, createPeerLoad} from './peer_latency';
+import {createRetryBudget} from '../hedged_attempt';
+import {type MeasuredPeer, createPeerLatencyTracker} from './peer_latency';
 import {
   type PeerRank,
-  type ProxyPlace,
+  type ProxyLocation,
   nearestFirst,
   roundTripBetween,
 } from './peer_order';
@@ -31,9 +31,9 @@
   readonly local: LocalDispatcher;
   readonly client: RelayClient;
   /** Location of this proxy; near peers are preferred. */
-  readonly place: ProxyPlace;
+  readonly location: ProxyLocation;
   /** True if this proxy is a connection owner of the group. */
-  holds(group: string): boolean;
+  ownsConnections(group: string): boolean;
   /** The group's connection owners, without this proxy. */
   peers(group: string): readonly PresentProxy[];
 }
@@ -42,81 +42,89 @@
  * How long a peer that had no target is not tried again: each peer gets at most
  * four such requests per second and group.
  */
-const PAUSE_AFTER_REFUSAL: Milliseconds = 250;
+const REFUSAL_BACKOFF_MS: Milliseconds = 250;
 
 /** Fields of a result without a target. */
-const NOT_RUN = {target: '', attempts: 0, via: '', pinned: undefined};
+const WITHOUT_TARGET = {target: '', attempts: 0, via: '', pinned: undefined};
 
 /** Creates a dispatcher that extends the local one. */
 export function createRelayingDispatcher(
   options: RelayingDispatcherOptions,
 ): Dispatcher {
-  const {runtime, local, client, place} = options;
+  const {runtime, local, client, location} = options;
   const {timer, random} = runtime;
   const refusedAt = new Map<string, Milliseconds>();
-  const load = createPeerLoad();
-  const budget = createAttemptBudget();
+  const latency = createPeerLatencyTracker();
+  const budget = createRetryBudget();
 
   /** Separates statements that need the primary from others. */
-  function sortOf({route, needsPrimary}: Dispatch): string {
+  function workloadOf({route, needsPrimary}: DispatchRequest): string {
     return `${route.group} ${needsPrimary ? 'primary' : 'any'}`;
   }
 
-  function keyOf({proxy}: PresentProxy, work: Dispatch): string {
-    return `${sortOf(work)} ${proxy}`;
+  function keyOf({proxy}: PresentProxy, request: DispatchRequest): string {
+    return `${workloadOf(request)} ${proxy}`;
   }
 
-  function asLoaded(peer: PresentProxy, work: Dispatch): LoadedPeer {
-    const roundTrip = roundTripBetween(place, peer);
-    return {group: sortOf(work), proxy: peer.proxy, roundTrip};
+  function toMeasuredPeer(
+    peer: PresentProxy,
+    request: DispatchRequest,
+  ): MeasuredPeer {
+    const roundTrip = roundTripBetween(location, peer);
+    return {group: workloadOf(request), proxy: peer.proxy, roundTrip};
   }
 
-  function hasRefused(peer: PresentProxy, work: Dispatch): boolean {
-    const at = refusedAt.get(keyOf(peer, work)) ?? -Infinity;
-    return timer.now() - at < PAUSE_AFTER_REFUSAL;
+  function hasRefusedRecently(
+    peer: PresentProxy,
+    request: DispatchRequest,
+  ): boolean {
+    const at = refusedAt.get(keyOf(peer, request)) ?? -Infinity;
+    return timer.now() - at < REFUSAL_BACKOFF_MS;
   }
 
   function isUsable({relayAddress}: PresentProxy): boolean {
     return client.isUsable(relayAddress);
   }
 
-  function usablePeers(work: Dispatch): PresentProxy[] {
-    const usable = options.peers(work.route.group).filter(isUsable);
-    return nearestFirst(random, usable, peer => rankOf(peer, work));
+  function usablePeers(request: DispatchRequest): PresentProxy[] {
+    const usable = options.peers(request.route.group).filter(isUsable);
+    return nearestFirst(random, usable, peer => rankOf(peer, request));
   }
 
-  function rankOf(peer: PresentProxy, work: Dispatch): PeerRank {
-    const loaded = asLoaded(peer, work);
-    const isSlow = load.isSlow(loaded, timer.now());
-    return {roundTrip: loaded.roundTrip, isSlow};
+  function rankOf(peer: PresentProxy, request: DispatchRequest): PeerRank {
+    const measured = toMeasuredPeer(peer, request);
+    const isSlow = latency.isSlow(measured, timer.now());
+    return {roundTrip: measured.roundTrip, isSlow};
   }
 
-  function peersToAsk(work: Dispatch): PresentProxy[] {
-    return usablePeers(work).filter(peer => !hasRefused(peer, work));
+  function peersToTry(request: DispatchRequest): PresentProxy[] {
+    return usablePeers(request).filter(
+      peer => !hasRefusedRecently(peer, request),
+    );
   }
 
-  function isLate({arrivedAt, route}: Dispatch): boolean {
+  function isLate({arrivedAt, route}: DispatchRequest): boolean {
     return timer.now() >= arrivedAt + route.timeout;
   }
 
   function* dispatchTo(
     peer: PresentProxy,
-    work: Dispatch,
+    request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome> {
     // A begin waits for its own connection, which says little about the peer.
-    const isMeasured = work.statement.kind !== 'begin';
+    const isMeasured = request.statement.kind !== 'begin';
     const end = isMeasured
-      ? load.begin(asLoaded(peer, work), timer.now())
+      ? latency.begin(toMeasuredPeer(peer, request), timer.now())
       : undefined;
-    const outcome = yield* client.dispatch(peer, work, mayWait);
+    const outcome = yield* client.dispatch(peer, request, mayWait);
     end?.(timer.now());
     return outcome;
   }
 
   /** After a refusal by an overloaded peer, another one may have capacity. */
-  function mayAskAnother({answer}: DispatchResult): boolean {
-    return answer.error?.name === 'busy' && budget.spend();
+  function mayTryAnother({answer}: DispatchResult): boolean {
+    return answer.error?.name === 'busy' && budget.tryWithdraw();
   }
 
   /**
@@ -124,54 +132,60 @@
    * refusal; undefined if it has not run and no peer refused it.
    */
   function* tryPeers(
-    work: Dispatch,
+    request: DispatchRequest,
     peers: readonly PresentProxy[],
     mayWait: boolean,
   ): Task<DispatchResult | undefined> {
     let refusal: DispatchResult | undefined;
-    budget.earn();
+    budget.deposit();
     for (const peer of peers) {
-      if (isLate(work)) {
+      if (isLate(request)) {
         return refusal;
       }
-      const outcome = yield* dispatchTo(peer, work, mayWait);
+      const outcome = yield* dispatchTo(peer, request, mayWait);
       if (outcome.kind === 'ended') {
         refusal = outcome.result;
-        if (mayAskAnother(refusal)) {
+        if (mayTryAnother(refusal)) {
           continue;
         }
         return refusal;
       }
-      refusedAt.set(keyOf(peer, work), timer.now());
-      if (outcome.kind === 'lost' && work.isWrite) {
-        return endUnanswered(peer, 'inDoubt');
+      refusedAt.set(keyOf(peer, request), timer.now());
+      if (outcome.kind === 'lost' && request.isWrite) {
+        return unansweredResult(peer, 'inDoubt');
       }
-      if (outcome.kind === 'lost' && isLate(work)) {
-        return endUnanswered(peer, 'timedOut');
+      if (outcome.kind === 'lost' && isLate(request)) {
+        return unansweredResult(peer, 'timedOut');
       }
     }
     return refusal;
   }
 
-  function endUnanswered(
+  function unansweredResult(
     {proxy}: PresentProxy,
     name: 'inDoubt' | 'timedOut',
   ): DispatchResult {
     const answer = errorAnswer(name, 'idle');
-    return {...NOT_RUN, answer, attempts: 1, reason: 'answer lost', via: proxy};
+    return {
+      ...WITHOUT_TARGET,
+      answer,
+      attempts: 1,
+      reason: 'answer lost',
+      via: proxy,
+    };
   }
 
-  function* dispatchHere(work: Dispatch): Task<DispatchResult> {
-    const mayAskElsewhere = () =>
+  function* dispatchLocally(request: DispatchRequest): Task<DispatchResult> {
+    const mayTryPeers = () =>
       options
-        .peers(work.route.group)
-        .some(peer => isUsable(peer) && !hasRefused(peer, work));
+        .peers(request.route.group)
+        .some(peer => isUsable(peer) && !hasRefusedRecently(peer, request));
     for (;;) {
-      const result = yield* local.dispatchUnless(work, mayAskElsewhere);
+      const result = yield* local.tryDispatch(request, mayTryPeers);
       if (result !== undefined) {
         return result;
       }
-      const relayed = yield* tryPeers(work, peersToAsk(work), false);
+      const relayed = yield* tryPeers(request, peersToTry(request), false);
       if (relayed !== undefined) {
         return relayed;
       }
@@ -184,28 +198,30 @@
    * connections only if no connection owner is usable, since the targets don't
    * accept enough connections for every proxy.
    */
-  function* dispatchThrough(work: Dispatch): Task<DispatchResult> {
+  function* dispatchThroughPeer(
+    request: DispatchRequest,
+  ): Task<DispatchResult> {
     const result =
-      (yield* tryPeers(work, peersToAsk(work), false)) ??
-      (yield* tryPeers(work, usablePeers(work), true));
+      (yield* tryPeers(request, peersToTry(request), false)) ??
+      (yield* tryPeers(request, usablePeers(request), true));
     if (result !== undefined) {
       return result;
     }
-    return usablePeers(work).length === 0 && !isLate(work)
-      ? yield* local.dispatch(work)
+    return usablePeers(request).length === 0 && !isLate(request)
+      ? yield* local.dispatch(request)
       : refuse();
   }
 
   function refuse(): DispatchResult {
     const reason = 'no other proxy took it';
-    const answer = refusalAnswer(reason, DEFAULT_RETRY_AFTER);
-    return {...NOT_RUN, answer, reason};
+    const answer = refusalAnswer(reason, DEFAULT_RETRY_AFTER_MS);
+    return {...WITHOUT_TARGET, answer, reason};
   }
 
   return {
-    dispatch: work =>
-      options.holds(work.route.group)
-        ? dispatchHere(work)
-        : dispatchThrough(work),
+    dispatch: request =>
+      options.ownsConnections(request.route.group)
+        ? dispatchLocally(request)
+        : dispatchThroughPeer(request),
   };
 }
--- a/packages/gateway/src/select_read_target.ts
+++ b/packages/gateway/src/select_read_target.ts
@@ -5,7 +5,7 @@
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
 /** Inputs of the selection. */
-export interface ReaderChoice {
+export interface ReadTargetCriteria {
   readonly group: TargetGroup;
   /** Statistics key of statements that take about the same time. */
   readonly kind: string;
@@ -22,56 +22,63 @@
  * How long a target is excluded after it lacked the position or was tried. A
  * replica without lag applies a commit within this time.
  */
-const LAG_MEMORY: Milliseconds = 60;
+const EXCLUSION_TIME_MS: Milliseconds = 60;
 /**
  * Added to the primary's expected time for reads that a replica may serve,
  * because they delay the statements that need the primary.
  */
-const PRIMARY_RELUCTANCE: Milliseconds = 10;
+const PRIMARY_PENALTY_MS: Milliseconds = 10;
 
 /** Added if the target accepts no connection now; it may accept one soon. */
-const SHUT_OUT_COST: Milliseconds = 300;
+const NO_CONNECTION_PENALTY_MS: Milliseconds = 300;
 
 /** Added for a replica's lag; `Infinity` if its log lacks the position. */
-function lagCost(
-  {group, position, now}: ReaderChoice,
+function lagPenalty(
+  {group, position, now}: ReadTargetCriteria,
   link: TargetLink,
 ): Milliseconds {
   const log = group.positions.logOf(link.target);
   if (log === undefined) {
-    return LAG_MEMORY;
+    return EXCLUSION_TIME_MS;
   }
   const lacks = compareLogPositions(log.position, position) < 0;
-  const isKnownNow = now - log.askedAt < LAG_MEMORY;
-  return lacks && isKnownNow ? Infinity : 0;
+  const isCurrent = now - log.askedAt < EXCLUSION_TIME_MS;
+  return lacks && isCurrent ? Infinity : 0;
 }
 
-function isOut({triedAt, now}: ReaderChoice, link: TargetLink): boolean {
-  const tried = triedAt.get(link.target) ?? -Infinity;
+function isExcluded(
+  {triedAt, now}: ReadTargetCriteria,
+  link: TargetLink,
+): boolean {
+  const lastTriedAt = triedAt.get(link.target) ?? -Infinity;
   return (
     !link.isReached() ||
     link.registration().isLeaving ||
-    now - tried < LAG_MEMORY
+    now - lastTriedAt < EXCLUSION_TIME_MS
   );
 }
 
-function costOf(choice: ReaderChoice, link: TargetLink): Milliseconds {
-  const time = link.expectedTime(choice.kind) + (link.roundTrip() ?? 0);
-  const isPrimary = link === choice.group.leader();
-  const shutOutCost = link.isShutOut(choice.user) ? SHUT_OUT_COST : 0;
+function costOf(criteria: ReadTargetCriteria, link: TargetLink): Milliseconds {
+  const time = link.expectedTime(criteria.kind) + (link.roundTrip() ?? 0);
+  const isPrimary = link === criteria.group.leader();
+  const connectionPenalty = link.isShutOut(criteria.user)
+    ? NO_CONNECTION_PENALTY_MS
+    : 0;
   return (
     time +
-    shutOutCost +
-    (isPrimary ? PRIMARY_RELUCTANCE : lagCost(choice, link))
+    connectionPenalty +
+    (isPrimary ? PRIMARY_PENALTY_MS : lagPenalty(criteria, link))
   );
 }
 
 /** The target expected to answer first; undefined if none is eligible. */
-export function chooseReader(choice: ReaderChoice): TargetLink | undefined {
+export function selectReadTarget(
+  criteria: ReadTargetCriteria,
+): TargetLink | undefined {
   let best: TargetLink | undefined;
   let lowest = Infinity;
-  for (const link of choice.group.links()) {
-    const cost = isOut(choice, link) ? Infinity : costOf(choice, link);
+  for (const link of criteria.group.links()) {
+    const cost = isExcluded(criteria, link) ? Infinity : costOf(criteria, link);
     if (cost < lowest) {
       lowest = cost;
       best = link;
--- a/packages/gateway/src/select_target.ts
+++ b/packages/gateway/src/select_target.ts
@@ -8,18 +8,21 @@
 } from '@kelpstep/runtime';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
-import {chooseReader} from './select_read_target';
-import {type Dispatch, kindOf} from './dispatch_types';
-import {type PrimaryState, createPrimaryReturn} from './primary_outage';
+import {type DispatchRequest, statementKindOf} from './dispatch_types';
+import {
+  type PrimaryState,
+  createPrimaryOutageEstimator,
+} from './primary_outage';
+import {selectReadTarget} from './select_read_target';
 
 /** A target, and the log position that it must have reached. */
-export interface Place {
+export interface SelectedTarget {
   readonly link: TargetLink;
   readonly after: LogPosition | undefined;
 }
 
 /** No target is expected in time, but one after `retryAfter`. */
-export interface NoPlace {
+export interface NoTarget {
   readonly retryAfter: Milliseconds;
 }
 
@@ -27,77 +30,83 @@
  * Where a statement may run. `elsewhere`: a peer may have a target for it;
  * undefined: there was none in time.
  */
-export type Placement = Place | NoPlace | 'elsewhere' | undefined;
+export type SelectionResult =
+  SelectedTarget | NoTarget | 'elsewhere' | undefined;
 
 /** Parameters of a target selection. */
-export interface PlaceSearch {
+export interface TargetSearch {
   readonly group: TargetGroup;
-  readonly work: Dispatch;
+  readonly work: DispatchRequest;
   /** Monotonic time at which the selection is given up. */
-  readonly until: Milliseconds;
+  readonly waitUntil: Milliseconds;
   /** Monotonic times at which targets were tried for this statement. */
   readonly triedAt: ReadonlyMap<string, Milliseconds>;
   /** True if a peer may be tried while no target is available here. */
-  mayAskElsewhere(): boolean;
+  mayTryPeers(): boolean;
 }
 
 /** Dependencies of a target selector. */
-export interface PlaceFinderOptions {
+export interface TargetSelectorOptions {
   readonly runtime: Runtime;
   /** True while the group's primary is being replaced. */
-  isChanging(group: string): boolean;
+  isPrimaryChanging(group: string): boolean;
 }
 
 /** Selects targets for statements. */
-export interface PlaceFinder {
-  find(search: PlaceSearch): Task<Placement>;
+export interface TargetSelector {
+  find(search: TargetSearch): Task<SelectionResult>;
   /**
    * A target for a second attempt; the same one again if the statement needs
    * the primary, undefined if there is none.
    */
-  another(search: PlaceSearch, place: Place): Place | undefined;
+  selectAlternative(
+    search: TargetSearch,
+    selected: SelectedTarget,
+  ): SelectedTarget | undefined;
   /** Samples the state of the group's primary; to be called on every tick. */
-  notePrimary(group: TargetGroup): void;
+  observePrimary(group: TargetGroup): void;
   /** True if a target is expected to be available without waiting. */
-  isExpected(group: TargetGroup, work: Dispatch): boolean;
+  canSelectNow(group: TargetGroup, request: DispatchRequest): boolean;
 }
 
 /**
  * Part of a route's maximum staleness that is reserved for the network delay
  * from the caller to this proxy and from here to the target.
  */
-const STALENESS_MARGIN: Milliseconds = 150;
+const STALENESS_MARGIN_MS: Milliseconds = 150;
 /** Interval of the checks for a target that may serve a read. */
-const LOOK_PERIOD: Milliseconds = 15;
+const TARGET_POLL_INTERVAL_MS: Milliseconds = 15;
 /**
  * How long to wait for a proof of freshness before trying a peer: two round
  * trips between regions and the time to answer.
  */
-const PROOF_PATIENCE: Milliseconds = 120;
+const FRESHNESS_PROOF_TIMEOUT_MS: Milliseconds = 120;
 /** Traffic and status probes keep the proof of freshness younger than this. */
-const PROOF_AGE: Milliseconds = 1000;
+const MAXIMUM_PROOF_AGE_MS: Milliseconds = 1000;
 
 function isPosition(
-  after: LogPosition | NoPlace | string | undefined,
+  after: LogPosition | NoTarget | string | undefined,
 ): after is LogPosition {
   return typeof after === 'object' && 'term' in after;
 }
 
 /** True if no target accepts a connection of this proxy for the account. */
-function isShutOut(
-  places: ReadonlyArray<TargetLink | undefined>,
-  {account}: Dispatch,
+function cannotConnect(
+  links: ReadonlyArray<TargetLink | undefined>,
+  {account}: DispatchRequest,
 ): boolean {
-  return places.every(link => link?.isShutOut(account) ?? true);
+  return links.every(link => link?.isShutOut(account) ?? true);
 }
 
 /** Creates a target selector. */
-export function createPlaceFinder(options: PlaceFinderOptions): PlaceFinder {
+export function createTargetSelector(
+  options: TargetSelectorOptions,
+): TargetSelector {
   const {timer} = options.runtime;
-  const primaryReturn = createPrimaryReturn();
+  const outages = createPrimaryOutageEstimator();
 
-  function notePrimary(group: TargetGroup): void {
-    primaryReturn.note(group.group, primaryState(group), timer.now());
+  function observePrimary(group: TargetGroup): void {
+    outages.recordState(group.group, primaryState(group), timer.now());
   }
 
   function primaryState(group: TargetGroup): PrimaryState {
@@ -110,19 +119,22 @@
   }
 
   /** Set if a lost primary is expected back too late for the statement. */
-  function absenceBeyond({group, until}: PlaceSearch): NoPlace | undefined {
+  function lateReturn({group, waitUntil}: TargetSearch): NoTarget | undefined {
     const now = timer.now();
-    notePrimary(group);
-    const retryAfter = primaryReturn.expected(group.group, now);
-    const isBeyond = retryAfter > 0 && now + retryAfter > until;
-    return isBeyond ? {retryAfter} : undefined;
+    observePrimary(group);
+    const retryAfter = outages.expected(group.group, now);
+    const isLate = retryAfter > 0 && now + retryAfter > waitUntil;
+    return isLate ? {retryAfter} : undefined;
   }
 
-  function requiredTime({route, arrivedAt}: Dispatch): Milliseconds {
+  function requiredCoverageTime({
+    route,
+    arrivedAt,
+  }: DispatchRequest): Milliseconds {
     if (route.freshness === 'primary') {
       return arrivedAt;
     }
-    const usable = Math.max(0, route.maximumStaleness - STALENESS_MARGIN);
+    const usable = Math.max(0, route.maximumStaleness - STALENESS_MARGIN_MS);
     return arrivedAt - usable;
   }
 
@@ -131,23 +143,23 @@
    * but there is time left; undefined: there is no time left.
    */
   function* requiredPosition(
-    search: PlaceSearch,
-  ): Task<LogPosition | NoPlace | 'again' | 'elsewhere' | undefined> {
-    const {group, work, until} = search;
+    search: TargetSearch,
+  ): Task<LogPosition | NoTarget | 'again' | 'elsewhere' | undefined> {
+    const {group, work: request, waitUntil} = search;
     // Only a primary proves freshness, and it may be lost during the wait.
     const covering = yield* group.awaitCovering(
-      requiredTime(work),
-      Math.min(until, timer.now() + PROOF_PATIENCE),
+      requiredCoverageTime(request),
+      Math.min(waitUntil, timer.now() + FRESHNESS_PROOF_TIMEOUT_MS),
     );
     if (covering === undefined) {
-      if (isElsewhere(search)) {
+      if (shouldTryPeers(search)) {
         return 'elsewhere';
       }
       return (
-        absenceBeyond(search) ?? (timer.now() >= until ? undefined : 'again')
+        lateReturn(search) ?? (timer.now() >= waitUntil ? undefined : 'again')
       );
     }
-    const {lastCommit} = work;
+    const {lastCommit} = request;
     if (lastCommit === undefined) {
       return covering;
     }
@@ -162,43 +174,43 @@
       leader !== undefined &&
       leader.isReached() &&
       !leader.registration().isLeaving &&
-      !options.isChanging(group.group);
+      !options.isPrimaryChanging(group.group);
     return isUsable ? leader : undefined;
   }
 
   /**
    * Peers can't help while the primary is replaced: all wait for the same one.
    */
-  function isElsewhere({group, mayAskElsewhere}: PlaceSearch): boolean {
-    return !options.isChanging(group.group) && mayAskElsewhere();
+  function shouldTryPeers({group, mayTryPeers}: TargetSearch): boolean {
+    return !options.isPrimaryChanging(group.group) && mayTryPeers();
   }
 
-  function* findPrimary(search: PlaceSearch): Task<Placement> {
-    const {group, work, until} = search;
+  function* selectPrimary(search: TargetSearch): Task<SelectionResult> {
+    const {group, work: request, waitUntil} = search;
     for (;;) {
       const link = usablePrimary(group);
-      const remaining = until - timer.now();
+      const remaining = waitUntil - timer.now();
       if (remaining <= 0) {
         return undefined;
       }
       if (link === undefined) {
-        if (isElsewhere(search)) {
+        if (shouldTryPeers(search)) {
           return 'elsewhere';
         }
-        const absence = absenceBeyond(search);
-        if (absence !== undefined) {
-          return absence;
+        const late = lateReturn(search);
+        if (late !== undefined) {
+          return late;
         }
         yield* waitAtMost(
           group.changes.next(),
-          Math.min(remaining, PROOF_PATIENCE),
+          Math.min(remaining, FRESHNESS_PROOF_TIMEOUT_MS),
         );
         continue;
       }
-      if (link.isShutOut(work.account) && isElsewhere(search)) {
+      if (link.isShutOut(request.account) && shouldTryPeers(search)) {
         return 'elsewhere';
       }
-      if (work.isWrite) {
+      if (request.isWrite) {
         return {link, after: undefined};
       }
       const after = yield* requiredPosition(search);
@@ -214,8 +226,8 @@
     }
   }
 
-  function* findReader(search: PlaceSearch): Task<Placement> {
-    const {group, work, until, triedAt} = search;
+  function* selectForRead(search: TargetSearch): Task<SelectionResult> {
+    const {group, work: request, waitUntil, triedAt} = search;
     for (;;) {
       const after = yield* requiredPosition(search);
       if (after === 'again') {
@@ -224,10 +236,10 @@
       if (!isPosition(after)) {
         return after;
       }
-      const link = chooseReader({
+      const link = selectReadTarget({
         group,
-        kind: kindOf(work),
-        user: work.account,
+        kind: statementKindOf(request),
+        user: request.account,
         position: after,
         triedAt,
         now: timer.now(),
@@ -235,41 +247,51 @@
       if (link !== undefined) {
         return {link, after};
       }
-      if (isShutOut(group.links(), work) && isElsewhere(search)) {
+      if (cannotConnect(group.links(), request) && shouldTryPeers(search)) {
         return 'elsewhere';
       }
-      const remaining = until - timer.now();
+      const remaining = waitUntil - timer.now();
       if (remaining <= 0) {
         return undefined;
       }
-      yield* waitAtMost(group.changes.next(), Math.min(remaining, LOOK_PERIOD));
+      yield* waitAtMost(
+        group.changes.next(),
+        Math.min(remaining, TARGET_POLL_INTERVAL_MS),
+      );
     }
   }
 
   return {
-    notePrimary,
+    observePrimary,
     find: search =>
-      search.work.needsPrimary ? findPrimary(search) : findReader(search),
-    another({group, work, triedAt}, place) {
-      if (work.needsPrimary || place.after === undefined) {
-        return place;
+      search.work.needsPrimary ? selectPrimary(search) : selectForRead(search),
+    selectAlternative({group, work: request, triedAt}, selected) {
+      if (request.needsPrimary || selected.after === undefined) {
+        return selected;
       }
-      const {after} = place;
+      const {after} = selected;
       const now = timer.now();
-      const kind = kindOf(work);
-      const user = work.account;
+      const kind = statementKindOf(request);
+      const user = request.account;
       const position = after;
-      const link = chooseReader({group, kind, user, position, triedAt, now});
+      const link = selectReadTarget({
+        group,
+        kind,
+        user,
+        position,
+        triedAt,
+        now,
+      });
       return link && {link, after};
     },
-    isExpected(group, work) {
+    canSelectNow(group, request) {
       const primary = usablePrimary(group);
-      const places = work.needsPrimary ? [primary] : group.links();
-      if (isShutOut(places, work)) {
+      const links = request.needsPrimary ? [primary] : group.links();
+      if (cannotConnect(links, request)) {
         return false;
       }
       const proofAge = timer.now() - group.positions.coveredAt();
-      return work.isWrite || proofAge < PROOF_AGE;
+      return request.isWrite || proofAge < MAXIMUM_PROOF_AGE_MS;
     },
   };
 }
--- a/packages/gateway/src/serve_session.ts
+++ b/packages/gateway/src/serve_session.ts
@@ -27,8 +27,8 @@
 
 import type {CallerConnection, CallerMessage} from './caller_connection';
 import type {
+  ActiveConfiguration,
   CallerRoute,
-  ConfigurationKeeper,
   SessionAdmission,
 } from './configuration';
 import {
@@ -39,8 +39,8 @@
 import type {GatewayEvents, RequestEnd} from './gateway_events';
 import {
   type FailureReason,
-  type SessionStep,
-  answerInFailed,
+  type SessionTransition,
+  answerInFailedTransaction,
   failTransaction,
   stateAfterFailure,
 } from './transaction_failure';
@@ -49,7 +49,7 @@
 export interface SessionOptions {
   readonly runtime: Runtime;
   readonly caller: CallerConnection;
-  readonly configuration: ConfigurationKeeper;
+  readonly configuration: ActiveConfiguration;
   readonly dispatcher: Dispatcher;
   readonly quota: Pick<Quota, 'take' | 'charge'>;
   readonly events: GatewayEvents;
@@ -68,20 +68,20 @@
 }
 
 /** A statement to forward, with the shape of the prepared one it executes. */
-interface Resolved {
+interface ResolvedStatement {
   readonly statement: SessionStatement;
   readonly shape: PreparedShape | undefined;
   readonly isWrite: boolean;
 }
 
-type Admitted = Extract<SessionAdmission, {kind: 'admitted'}>;
+type AdmittedSession = Extract<SessionAdmission, {kind: 'admitted'}>;
 
-type RequestFacts = Pick<
+type RequestDetails = Pick<
   RequestEnd,
   'group' | 'account' | 'kind' | 'target' | 'attempts' | 'reason' | 'via'
 >;
 
-const LOCAL: RequestFacts = {
+const LOCAL_REQUEST: RequestDetails = {
   group: '',
   account: '',
   kind: 'local',
@@ -95,9 +95,9 @@
  * How long a statement waits for the first configuration. The store answers
  * within milliseconds if it is available.
  */
-const FIRST_CONFIGURATION_WAIT: Milliseconds = 300;
+const FIRST_CONFIGURATION_TIMEOUT_MS: Milliseconds = 300;
 /** Backoff before a statement is sent again after a `busy` answer. */
-const BUSY_PAUSE: Milliseconds = 20;
+const BUSY_BACKOFF_MS: Milliseconds = 20;
 
 const OVER_QUOTA = 'over quota';
 
@@ -123,7 +123,7 @@
     return yield* receiveAtMost(caller.messages, idle);
   }
 
-  function resolve(statement: SessionStatement): Resolved | undefined {
+  function resolve(statement: SessionStatement): ResolvedStatement | undefined {
     if (statement.kind !== 'execute') {
       const isWrite = statement.kind === 'write';
       return {statement, shape: undefined, isWrite};
@@ -132,15 +132,15 @@
     if (shape === undefined) {
       return undefined;
     }
-    const renamed = {...statement, name: sharedName(shape)};
-    return {statement: renamed, shape, isWrite: shape.access === 'write'};
+    const shared = {...statement, name: sharedName(shape)};
+    return {statement: shared, shape, isWrite: shape.access === 'write'};
   }
 
-  function factsOf(
-    {route, account}: Admitted,
+  function describeRequest(
+    {route, account}: AdmittedSession,
     result: DispatchResult,
     kind: string,
-  ): RequestFacts {
+  ): RequestDetails {
     const {target, attempts, reason, via} = result;
     return {
       group: route.group,
@@ -157,45 +157,49 @@
    * Takes one operation from the account's quota; returns the refusal if the
    * quota is exhausted.
    */
-  function* countOperation({
+  function* takeFromQuota({
     route,
     account,
-  }: Admitted): Task<[StatementAnswer, RequestFacts] | undefined> {
+  }: AdmittedSession): Task<[StatementAnswer, RequestDetails] | undefined> {
     if (account === undefined) {
       return undefined;
     }
-    const counted = yield* quota.take(account.name);
-    if (counted.kind === 'granted') {
+    const reply = yield* quota.take(account.name);
+    if (reply.kind === 'granted') {
       return undefined;
     }
-    const facts = {...LOCAL, group: route.group, account: account.name};
+    const details = {
+      ...LOCAL_REQUEST,
+      group: route.group,
+      account: account.name,
+    };
     return [
-      refusalAnswer(OVER_QUOTA, counted.retryAfter),
-      {...facts, kind: route.freshness, reason: OVER_QUOTA},
+      refusalAnswer(OVER_QUOTA, reply.retryAfter),
+      {...details, kind: route.freshness, reason: OVER_QUOTA},
     ];
   }
 
-  function* serveOutside(
+  function* serveOutsideTransaction(
     request: CallerRequest,
     statement: SessionStatement,
-  ): Task<[StatementAnswer, RequestFacts]> {
+  ): Task<[StatementAnswer, RequestDetails]> {
     const arrivedAt = timer.now();
-    yield* waitAtMost(configuration.first, FIRST_CONFIGURATION_WAIT);
+    yield* waitAtMost(configuration.first, FIRST_CONFIGURATION_TIMEOUT_MS);
     const admission = configuration.admit(caller);
     if (admission.kind === 'refused') {
-      return [admission.answer, LOCAL];
+      return [admission.answer, LOCAL_REQUEST];
     }
     const {route} = admission;
     const account = admission.account?.name;
     const resolved = resolve(statement);
     if (resolved === undefined) {
-      return [errorAnswer('notPrepared', 'idle'), LOCAL];
+      return [errorAnswer('notPrepared', 'idle'), LOCAL_REQUEST];
     }
-    const refusal = yield* countOperation(admission);
+    const refusal = yield* takeFromQuota(admission);
     if (refusal !== undefined) {
       return refusal;
     }
-    const isPlainBegin = statement.kind === 'begin' && !statement.readOnly;
+    const isWritableBegin = statement.kind === 'begin' && !statement.readOnly;
     const result = yield* dispatcher.dispatch({
       id: request.id,
       route,
@@ -205,7 +209,7 @@
       arrivedAt,
       lastCommit,
       needsPrimary:
-        resolved.isWrite || isPlainBegin || route.freshness === 'primary',
+        resolved.isWrite || isWritableBegin || route.freshness === 'primary',
       isAbandoned: caller.isClosed,
     });
     const {answer, pinned} = result;
@@ -224,20 +228,24 @@
     } else if (resolved.isWrite && answer.error === undefined) {
       lastCommit = answer.position ?? lastCommit;
     }
-    const facts = factsOf(admission, result, statement.kind);
-    return [{...answer, state}, facts];
+    const details = describeRequest(admission, result, statement.kind);
+    return [{...answer, state}, details];
   }
 
   function* sendPinned(
-    held: Transaction,
+    current: Transaction,
     request: CallerRequest,
-    {statement, shape}: Resolved,
+    {statement, shape}: ResolvedStatement,
   ): Task<StatementAnswer | undefined> {
-    const deadline = timer.now() + held.route.timeout;
+    const deadline = timer.now() + current.route.timeout;
     const {id} = request;
     for (;;) {
       const reply = yield* waitFor(
-        held.pinned.send({id, body: statement}, shape, deadline - timer.now()),
+        current.pinned.send(
+          {id, body: statement},
+          shape,
+          deadline - timer.now(),
+        ),
       );
       if (reply.err) {
         return undefined;
@@ -245,20 +253,20 @@
       const answer = reply.val;
       const mayRepeat =
         answer.error?.name === 'busy' && answer.state === 'open';
-      if (!mayRepeat || timer.now() + BUSY_PAUSE >= deadline) {
+      if (!mayRepeat || timer.now() + BUSY_BACKOFF_MS >= deadline) {
         return answer;
       }
-      yield* sleep(BUSY_PAUSE);
+      yield* sleep(BUSY_BACKOFF_MS);
     }
   }
 
-  function* serveInside(
-    held: Transaction,
+  function* serveInTransaction(
+    current: Transaction,
     request: CallerRequest,
     statement: SessionStatement,
-  ): Task<[StatementAnswer, RequestFacts]> {
-    const {pinned, route, account = '', via} = held;
-    const facts = {
+  ): Task<[StatementAnswer, RequestDetails]> {
+    const {pinned, route, account = '', via} = current;
+    const details = {
       group: route.group,
       account,
       kind: `${route.freshness} ${statement.kind}`,
@@ -271,57 +279,59 @@
     if (resolved === undefined || statement.kind === 'begin') {
       endTransaction();
       state = 'failed';
-      return [errorAnswer('malformed', state), facts];
+      return [errorAnswer('malformed', state), details];
     }
-    held.hasWritten ||= resolved.isWrite;
-    const answer = yield* sendPinned(held, request, resolved);
+    current.hasWritten ||= resolved.isWrite;
+    const answer = yield* sendPinned(current, request, resolved);
     if (answer !== undefined && answer.error === undefined) {
       state = answer.state;
       if (state !== 'open') {
-        concludeEnd(held, statement, answer);
+        recordEnd(current, statement, answer);
       }
-      return [answer, facts];
+      return [answer, details];
     }
     const reason = answer?.error?.name ?? 'answer lost';
-    return [fail(held, statement, reason), {...facts, reason}];
+    return [failCurrent(current, statement, reason), {...details, reason}];
   }
 
   /** Called when the target's answer has ended the transaction. */
-  function concludeEnd(
-    held: Transaction,
+  function recordEnd(
+    current: Transaction,
     statement: SessionStatement,
     answer: StatementAnswer,
   ): void {
-    if (statement.kind === 'commit' && held.hasWritten) {
+    if (statement.kind === 'commit' && current.hasWritten) {
       lastCommit = answer.position ?? lastCommit;
     }
     endTransaction();
   }
 
-  function fail(
-    held: Transaction,
+  function failCurrent(
+    current: Transaction,
     statement: SessionStatement,
     reason: FailureReason,
   ): StatementAnswer {
     endTransaction();
-    return take(failTransaction(statement, reason, held.hasWritten));
+    return applyTransition(
+      failTransaction(statement, reason, current.hasWritten),
+    );
   }
 
-  function take(step: SessionStep): StatementAnswer {
-    state = step.state;
-    return step.answer;
+  function applyTransition(transition: SessionTransition): StatementAnswer {
+    state = transition.state;
+    return transition.answer;
   }
 
   /** True if the caller's key still belongs to the transaction's account. */
-  function mayGoOn({account}: Transaction): boolean {
+  function mayContinue({account}: Transaction): boolean {
     return (
       account === undefined ||
-      configuration.trustedHolder(caller.keyDigest) === account
+      configuration.trustedAccount(caller.keyDigest) === account
     );
   }
 
   /** Rolls back a transaction that its caller may no longer continue. */
-  function revoke(statement: SessionStatement): StatementAnswer {
+  function rollBackRevoked(statement: SessionStatement): StatementAnswer {
     endTransaction();
     state = stateAfterFailure(statement);
     const admission = configuration.admit(caller);
@@ -332,45 +342,48 @@
 
   function* serve(
     request: CallerRequest,
-  ): Task<[StatementAnswer, RequestFacts]> {
+  ): Task<[StatementAnswer, RequestDetails]> {
     const {statement} = request;
     if (statement === undefined) {
-      return [errorAnswer('malformed', state), LOCAL];
+      return [errorAnswer('malformed', state), LOCAL_REQUEST];
     }
     if (state === 'failed') {
-      return [take(answerInFailed(statement)), LOCAL];
+      return [
+        applyTransition(answerInFailedTransaction(statement)),
+        LOCAL_REQUEST,
+      ];
     }
-    if (transaction !== undefined && !mayGoOn(transaction)) {
-      return [revoke(statement), LOCAL];
+    if (transaction !== undefined && !mayContinue(transaction)) {
+      return [rollBackRevoked(statement), LOCAL_REQUEST];
     }
     switch (statement.kind) {
       case 'set':
       case 'prepare':
       case 'deallocate':
         applyLocally(settings, statement);
-        return [localAnswer(state), LOCAL];
+        return [localAnswer(state), LOCAL_REQUEST];
       case 'commit':
       case 'rollback':
         break;
     }
     if (transaction !== undefined) {
-      return yield* serveInside(transaction, request, statement);
+      return yield* serveInTransaction(transaction, request, statement);
     }
     if (statement.kind === 'commit' || statement.kind === 'rollback') {
-      return [errorAnswer('malformed', state), LOCAL];
+      return [errorAnswer('malformed', state), LOCAL_REQUEST];
     }
-    return yield* serveOutside(request, statement);
+    return yield* serveOutsideTransaction(request, statement);
   }
 
   /** Sends the answer and returns it, as an invalid key ends the session. */
   function* handle(request: CallerRequest): Task<StatementAnswer> {
     const startedAt = timer.now();
-    const [answer, facts] = yield* serve(request);
+    const [answer, details] = yield* serve(request);
     // Log positions are not exposed to callers.
     caller.answer({...answer, position: undefined});
     events.onRequestEnd({
       id: request.id,
-      ...facts,
+      ...details,
       outcome: answer.error?.name ?? 'ok',
       duration: timer.now() - startedAt,
     });
--- a/packages/gateway/src/transaction_failure.ts
+++ b/packages/gateway/src/transaction_failure.ts
@@ -12,7 +12,7 @@
 export type FailureReason = StatementErrorName | 'answer lost';
 
 /** A session's next state and the answer that reports it. */
-export interface SessionStep {
+export interface SessionTransition {
   readonly state: TransactionState;
   readonly answer: StatementAnswer;
 }
@@ -25,10 +25,10 @@
   return kind === 'commit' || kind === 'rollback' ? 'idle' : 'failed';
 }
 
-function stepTo(
+function transitionTo(
   state: TransactionState,
   answer: (state: TransactionState) => StatementAnswer,
-): SessionStep {
+): SessionTransition {
   return {state, answer: answer(state)};
 }
 
@@ -41,17 +41,17 @@
   statement: SessionStatement,
   reason: FailureReason,
   hasWritten: boolean,
-): SessionStep {
+): SessionTransition {
   const state = stateAfterFailure(statement);
   if (statement.kind === 'rollback') {
-    return stepTo(state, localAnswer);
+    return transitionTo(state, localAnswer);
   }
   const isInDoubt =
     statement.kind === 'commit' &&
     hasWritten &&
     reason !== 'readOnly' &&
     reason !== 'busy';
-  return stepTo(state, next =>
+  return transitionTo(state, next =>
     isInDoubt
       ? errorAnswer('inDoubt', next)
       : errorAnswer('aborted', next, `rolled back: ${reason}`),
@@ -59,13 +59,15 @@
 }
 
 /** Answers a statement inside a transaction that has already failed. */
-export function answerInFailed(statement: SessionStatement): SessionStep {
+export function answerInFailedTransaction(
+  statement: SessionStatement,
+): SessionTransition {
   switch (statement.kind) {
     case 'rollback':
-      return stepTo('idle', localAnswer);
+      return transitionTo('idle', localAnswer);
     case 'commit':
-      return stepTo('idle', state => errorAnswer('aborted', state));
+      return transitionTo('idle', state => errorAnswer('aborted', state));
     default:
-      return stepTo('failed', state => errorAnswer('malformed', state));
+      return transitionTo('failed', state => errorAnswer('malformed', state));
   }
 }
