--- a/packages/gateway/__tests__/configuration.spec.ts
+++ b/packages/gateway/__tests__/configuration.spec.ts
@@ -34,107 +34,107 @@
   return {version, routes, groups: [], accounts, transactionIdle: 3000};
 }
 
-function createKeeper(isCurrent = () => true, mayTrustKeys = () => true) {
-  const keeper = createActiveConfiguration({isCurrent, mayTrustKeys});
+function createActive(isCurrent = () => true, mayTrustKeys = () => true) {
+  const active = createActiveConfiguration({isCurrent, mayTrustKeys});
 
-  /** The account a session is served as, or the error that it gets. */
-  function judge(database: string, keyDigest = ''): string | undefined {
-    const admission = keeper.admit({database, keyDigest});
+  /** The account that a session is admitted for, or the error name. */
+  function admittedAs(database: string, keyDigest = ''): string | undefined {
+    const admission = active.admit({database, keyDigest});
     return admission.kind === 'admitted'
       ? (admission.account?.name ?? 'anyone')
       : admission.answer.error?.name;
   }
 
-  return {...keeper, judge};
+  return {...active, admittedAs};
 }
 
 describe('the configuration in force', () => {
-  test('is the newest one, whatever order they come in', () => {
-    const keeper = createKeeper();
-    expect(keeper.accept(configuration(4, [ROUTE]))).toEqual(true);
-    expect(keeper.accept(configuration(3, []))).toEqual(false);
-    expect(keeper.accept(configuration(4, []))).toEqual(false);
-    expect(keeper.current()?.version).toEqual(4);
-    expect(keeper.judge('records')).toEqual('anyone');
+  test('is the newest one, in whatever order versions arrive', () => {
+    const active = createActive();
+    expect(active.accept(configuration(4, [ROUTE]))).toEqual(true);
+    expect(active.accept(configuration(3, []))).toEqual(false);
+    expect(active.accept(configuration(4, []))).toEqual(false);
+    expect(active.current()?.version).toEqual(4);
+    expect(active.admittedAs('records')).toEqual('anyone');
   });
 
-  test('no longer has routes that were dropped', () => {
-    const keeper = createKeeper();
-    keeper.accept(configuration(1, [ROUTE]));
-    keeper.accept(configuration(2, []));
-    expect(keeper.judge('records')).toEqual('noDatabase');
+  test('no longer contains routes that were removed', () => {
+    const active = createActive();
+    active.accept(configuration(1, [ROUTE]));
+    active.accept(configuration(2, []));
+    expect(active.admittedAs('records')).toEqual('noDatabase');
   });
 
-  test('denies a database that it lacks, but not while it may be out of date', () => {
+  test('denies unknown databases, but not while it may be out of date', () => {
     let isCurrent = false;
-    const keeper = createKeeper(() => isCurrent);
-    const judgements = () =>
-      ['records', 'other'].map(name => keeper.judge(name));
-    expect(judgements()).toEqual(['busy', 'busy']);
-    keeper.accept(configuration(1, [ROUTE]));
-    expect(judgements()).toEqual(['anyone', 'busy']);
+    const active = createActive(() => isCurrent);
+    const results = () =>
+      ['records', 'other'].map(name => active.admittedAs(name));
+    expect(results()).toEqual(['busy', 'busy']);
+    active.accept(configuration(1, [ROUTE]));
+    expect(results()).toEqual(['anyone', 'busy']);
     isCurrent = true;
-    expect(judgements()).toEqual(['anyone', 'noDatabase']);
+    expect(results()).toEqual(['anyone', 'noDatabase']);
   });
 });
 
 describe('keys of client accounts', () => {
-  test('serve whoever comes where there are no accounts', () => {
-    const keeper = createKeeper();
-    keeper.accept(configuration(1, [ROUTE]));
-    expect(keeper.judge('records', 'any')).toEqual('anyone');
+  test('are not needed if there is no list of accounts', () => {
+    const active = createActive();
+    active.accept(configuration(1, [ROUTE]));
+    expect(active.admittedAs('records', 'any')).toEqual('anyone');
   });
 
-  test('serve nobody where the list of accounts is empty', () => {
-    const keeper = createKeeper();
-    keeper.accept(configuration(1, [ROUTE], []));
-    expect(keeper.judge('records', 'any')).toEqual('notAuthorized');
+  test('are all denied if the list of accounts is empty', () => {
+    const active = createActive();
+    active.accept(configuration(1, [ROUTE], []));
+    expect(active.admittedAs('records', 'any')).toEqual('notAuthorized');
   });
 
-  test('tell whose session it is; a public route needs none', () => {
-    const keeper = createKeeper();
-    keeper.accept(configuration(1, [ROUTE, PUBLIC], [OFFICE, DEPOT]));
+  test('identify the account of a session; public routes need none', () => {
+    const active = createActive();
+    active.accept(configuration(1, [ROUTE, PUBLIC], [OFFICE, DEPOT]));
     expect([
-      keeper.judge('records', 'office-2'),
-      keeper.judge('records', 'd'),
-      keeper.judge('records', 'unknown'),
-      keeper.judge('notices', 'unknown'),
-      keeper.judge('notices', 'd'),
+      active.admittedAs('records', 'office-2'),
+      active.admittedAs('records', 'd'),
+      active.admittedAs('records', 'unknown'),
+      active.admittedAs('notices', 'unknown'),
+      active.admittedAs('notices', 'd'),
     ]).toEqual(['office', 'depot', 'notAuthorized', 'anyone', 'depot']);
   });
 
-  test('are refused for now while they may be missing', () => {
-    const keeper = createKeeper(() => false);
-    keeper.accept(configuration(1, [ROUTE], [OFFICE]));
-    expect(keeper.judge('records', 'unknown')).toEqual('busy');
-    expect(keeper.judge('records', 'office-1')).toEqual('office');
+  test('are refused temporarily if the configuration may lack them', () => {
+    const active = createActive(() => false);
+    active.accept(configuration(1, [ROUTE], [OFFICE]));
+    expect(active.admittedAs('records', 'unknown')).toEqual('busy');
+    expect(active.admittedAs('records', 'office-1')).toEqual('office');
   });
 
-  test('that were taken away, or moved, stand for their account no more', () => {
-    const keeper = createKeeper();
-    keeper.accept(configuration(1, [ROUTE], [OFFICE, DEPOT]));
+  test('no longer belong to an account after they were revoked or moved', () => {
+    const active = createActive();
+    active.accept(configuration(1, [ROUTE], [OFFICE, DEPOT]));
     const moved = [
       {...OFFICE, keyDigests: ['office-1']},
       {...DEPOT, keyDigests: ['d', 'office-2']},
     ];
-    keeper.accept(configuration(2, [ROUTE], moved));
-    expect(keeper.trustedAccount('office-2')).toEqual('depot');
-    keeper.accept(configuration(3, [ROUTE], [OFFICE]));
-    expect(keeper.judge('records', 'd')).toEqual('notAuthorized');
-    expect(keeper.trustedAccount('d')).toEqual(undefined);
+    active.accept(configuration(2, [ROUTE], moved));
+    expect(active.trustedAccount('office-2')).toEqual('depot');
+    active.accept(configuration(3, [ROUTE], [OFFICE]));
+    expect(active.admittedAs('records', 'd')).toEqual('notAuthorized');
+    expect(active.trustedAccount('d')).toEqual(undefined);
   });
 
-  test('are trusted only as long as the deployment allows without proof', () => {
+  test('are accepted only while a revocation would be known', () => {
     let mayTrust = true;
-    const keeper = createKeeper(
+    const active = createActive(
       () => true,
       () => mayTrust,
     );
-    keeper.accept(configuration(1, [ROUTE, PUBLIC], [OFFICE]));
-    expect(keeper.trustedAccount('office-1')).toEqual('office');
+    active.accept(configuration(1, [ROUTE, PUBLIC], [OFFICE]));
+    expect(active.trustedAccount('office-1')).toEqual('office');
     mayTrust = false;
-    expect(keeper.judge('records', 'office-1')).toEqual('busy');
-    expect(keeper.judge('notices')).toEqual('anyone');
-    expect(keeper.trustedAccount('office-1')).toEqual(undefined);
+    expect(active.admittedAs('records', 'office-1')).toEqual('busy');
+    expect(active.admittedAs('notices')).toEqual('anyone');
+    expect(active.trustedAccount('office-1')).toEqual(undefined);
   });
 });
--- a/packages/gateway/__tests__/hedged_attempt.spec.ts
+++ b/packages/gateway/__tests__/hedged_attempt.spec.ts
@@ -13,8 +13,8 @@
 
 import {awaitHedged, createRetryBudget} from '../src/hedged_attempt';
 
-const PATIENCE: Milliseconds = 280;
-const LONG: Milliseconds = 2000;
+const HEDGE_DELAY_MS: Milliseconds = 280;
+const LONG_WAIT_MS: Milliseconds = 2000;
 
 function startAttempts(sentAt: Milliseconds | undefined) {
   const timer = createVirtualTimer();
@@ -31,7 +31,7 @@
       timer,
       first: first.future,
       sentAt: () => sentAt,
-      hedgeDelay: PATIENCE,
+      hedgeDelay: HEDGE_DELAY_MS,
       start() {
         startedAt.push(timer.now());
         return second.future;
@@ -42,7 +42,7 @@
     result = end;
   });
 
-  /** Ends an attempt with an answer whose receipt names it. */
+  /** Ends an attempt with an answer that has the given `receipt`. */
   function answer(attempt: Deferred<PinnedStart>, receipt: string): void {
     attempt.settle({
       outcome: {
@@ -52,7 +52,7 @@
       pinned: {
         target: receipt,
         send: () => {
-          throw new Error('Nothing is sent here.');
+          throw new Error('No statement is sent in these tests.');
         },
         end: () => void ended.push(receipt),
       },
@@ -73,54 +73,54 @@
 }
 
 describe('a second attempt', () => {
-  test('is not made while the first waits to be sent', () => {
+  test('does not start while the first waits to be sent', () => {
     const {timer, startedAt} = startAttempts(undefined);
-    timer.advance(LONG);
+    timer.advance(LONG_WAIT_MS);
     expect(startedAt).toEqual([]);
   });
 
-  test('starts once the first is silent for too long', () => {
+  test('starts once the first is unanswered for the hedge delay', () => {
     const {timer, startedAt} = startAttempts(0);
-    timer.advance(LONG);
-    expect(startedAt).toEqual([PATIENCE]);
+    timer.advance(LONG_WAIT_MS);
+    expect(startedAt).toEqual([HEDGE_DELAY_MS]);
   });
 
-  test('ends the wait, and the first one is given up when it comes', () => {
+  test('ends the wait if it succeeds, and the late first is released', () => {
     const run = startAttempts(0);
-    run.timer.advance(LONG);
+    run.timer.advance(LONG_WAIT_MS);
     run.answer(run.second, 'second');
     expect(run.receipt()).toEqual('second');
     run.answer(run.first, 'first');
     expect(run.ended).toEqual(['first']);
   });
 
-  test('is given up if the first answers', () => {
+  test('is released if the first succeeds', () => {
     const run = startAttempts(0);
-    run.timer.advance(LONG);
+    run.timer.advance(LONG_WAIT_MS);
     run.answer(run.first, 'first');
     run.answer(run.second, 'second');
     expect(run.receipt()).toEqual('first');
     expect(run.ended).toEqual(['second']);
   });
 
-  test('that is lost leaves the first one to be waited for', () => {
+  test('does not end the wait if it is lost', () => {
     const run = startAttempts(0);
-    run.timer.advance(LONG);
+    run.timer.advance(LONG_WAIT_MS);
     run.lose(run.second);
     expect(run.receipt()).toEqual(undefined);
     run.answer(run.first, 'first');
     expect(run.receipt()).toEqual('first');
   });
 
-  test('that is lost too ends as lost', () => {
+  test('has a lost outcome if the first is lost as well', () => {
     const run = startAttempts(0);
-    run.timer.advance(LONG);
+    run.timer.advance(LONG_WAIT_MS);
     run.lose(run.second);
     run.lose(run.first);
     expect(run.receipt()).toEqual('lost');
   });
 
-  test('is made for a tenth of the first ones at most, over time', () => {
+  test('is allowed for at most a tenth of the first attempts over time', () => {
     const budget = createRetryBudget();
     let made = 0;
     for (let attempt = 0; attempt < 1000; attempt++) {
--- a/packages/gateway/__tests__/peer_order.spec.ts
+++ b/packages/gateway/__tests__/peer_order.spec.ts
@@ -11,14 +11,14 @@
 } from '../src/relay/peer_order';
 
 const ROUNDS = 200;
-const USUAL = 25;
-const SLOW = 900;
+const USUAL_TIME_MS = 25;
+const SLOW_TIME_MS = 900;
 
 function peer(proxy: string, dataCentre: string, region: string): PresentProxy {
   return {proxy, dataCentre, region, address: proxy, relayAddress: proxy};
 }
 
-describe('peers in the order in which they are asked', () => {
+describe('the order in which peers are tried', () => {
   const peers = [
     peer('far-1', 'd', 'south'),
     peer('near-1', 'b', 'north'),
@@ -29,31 +29,31 @@
   ];
   const from = {dataCentre: 'a', region: 'north'};
 
-  function orders(isSlow: (asked: PresentProxy) => boolean): string[][] {
+  function orders(isSlow: (candidate: PresentProxy) => boolean): string[][] {
     const random = createRandom(1);
-    const rankOf = (asked: PresentProxy): PeerRank => ({
-      roundTrip: roundTripBetween(from, asked),
-      isSlow: isSlow(asked),
+    const rankOf = (candidate: PresentProxy): PeerRank => ({
+      roundTrip: roundTripBetween(from, candidate),
+      isSlow: isSlow(candidate),
     });
     return Array.from({length: ROUNDS}, () =>
       nearestFirst(random, peers, rankOf).map(({proxy}) => proxy),
     );
   }
 
-  test('start in the data centre, then in the region', () => {
+  test('starts in the data centre, then in the region', () => {
     for (const order of orders(() => false)) {
-      const places = order.map(proxy => proxy.slice(0, -2));
-      expect(places).toEqual(['here', 'here', 'near', 'near', 'far', 'far']);
+      const distances = order.map(proxy => proxy.slice(0, -2));
+      expect(distances).toEqual(['here', 'here', 'near', 'near', 'far', 'far']);
     }
   });
 
-  test('share the load of what is equally near', () => {
+  test('shares the load between peers that are equally near', () => {
     const firsts = orders(() => false).map(([first]) => first);
     const share = firsts.filter(name => name === 'here-1').length / ROUNDS;
     expect(share > 0.4 && share < 0.6).toEqual(true);
   });
 
-  test('end with slow ones, also if these are near', () => {
+  test('ends with slow peers, even if they are near', () => {
     for (const order of orders(({proxy}) => proxy === 'here-1')) {
       expect(order.at(-1)).toEqual('here-1');
     }
@@ -61,49 +61,53 @@
 });
 
 describe('a peer', () => {
-  const asked = {group: 'records', proxy: 'a', roundTrip: 1};
-  const others = ['b', 'c', 'd'].map(proxy => ({...asked, proxy}));
+  const measuredPeer = {group: 'records', proxy: 'a', roundTrip: 1};
+  const others = ['b', 'c', 'd'].map(proxy => ({...measuredPeer, proxy}));
 
-  /** Statements to all of them, one of which takes its own time. */
-  function measured(time: number) {
-    const load = createPeerLatencyTracker();
+  /** Tracks all peers; statements of `measuredPeer` take the given time. */
+  function createTracker(time: number) {
+    const tracker = createPeerLatencyTracker();
     for (let count = 0; count < ROUNDS; count++) {
-      others.forEach(other => load.begin(other, 0)(USUAL));
-      load.begin(asked, 0)(time);
+      others.forEach(other => tracker.begin(other, 0)(USUAL_TIME_MS));
+      tracker.begin(measuredPeer, 0)(time);
     }
-    return load;
+    return tracker;
   }
 
-  test('is slow if it takes much longer than its group', () => {
-    expect(measured(SLOW).isSlow(asked, SLOW)).toEqual(true);
-    expect(measured(USUAL + 30).isSlow(asked, USUAL)).toEqual(false);
+  test('is slow if it takes much longer than its workload', () => {
+    expect(
+      createTracker(SLOW_TIME_MS).isSlow(measuredPeer, SLOW_TIME_MS),
+    ).toEqual(true);
+    expect(
+      createTracker(USUAL_TIME_MS + 30).isSlow(measuredPeer, USUAL_TIME_MS),
+    ).toEqual(false);
   });
 
-  test('is not slow for one statement that took long', () => {
-    const load = measured(USUAL);
-    load.begin(asked, 0)(SLOW / 2);
-    expect(load.isSlow(asked, SLOW / 2)).toEqual(false);
+  test('is not slow because of one slow statement', () => {
+    const tracker = createTracker(USUAL_TIME_MS);
+    tracker.begin(measuredPeer, 0)(SLOW_TIME_MS / 2);
+    expect(tracker.isSlow(measuredPeer, SLOW_TIME_MS / 2)).toEqual(false);
   });
 
-  test('is slow while a statement waits there for long', () => {
-    const load = measured(USUAL);
-    const end = load.begin(asked, 100);
-    expect(load.isSlow(asked, 100 + USUAL)).toEqual(false);
-    expect(load.isSlow(asked, 100 + SLOW)).toEqual(true);
+  test('is slow while a statement is unanswered for long', () => {
+    const tracker = createTracker(USUAL_TIME_MS);
+    const end = tracker.begin(measuredPeer, 100);
+    expect(tracker.isSlow(measuredPeer, 100 + USUAL_TIME_MS)).toEqual(false);
+    expect(tracker.isSlow(measuredPeer, 100 + SLOW_TIME_MS)).toEqual(true);
     end(200);
-    expect(load.isSlow(asked, 300)).toEqual(false);
+    expect(tracker.isSlow(measuredPeer, 300)).toEqual(false);
   });
 
   test('is tried again some time after it was slow', () => {
-    const load = measured(SLOW);
-    expect(load.isSlow(asked, 2000)).toEqual(true);
-    expect(load.isSlow(asked, 60_000)).toEqual(false);
+    const tracker = createTracker(SLOW_TIME_MS);
+    expect(tracker.isSlow(measuredPeer, 2000)).toEqual(true);
+    expect(tracker.isSlow(measuredPeer, 60_000)).toEqual(false);
   });
 
-  test('of another region is not slow for the way there', () => {
-    const load = measured(USUAL);
-    const far = {...asked, proxy: 'far', roundTrip: 40};
-    load.begin(far, 0)(USUAL + 40);
-    expect(load.isSlow(far, 100)).toEqual(false);
+  test('in another region is not slow because of the round trip', () => {
+    const tracker = createTracker(USUAL_TIME_MS);
+    const far = {...measuredPeer, proxy: 'far', roundTrip: 40};
+    tracker.begin(far, 0)(USUAL_TIME_MS + 40);
+    expect(tracker.isSlow(far, 100)).toEqual(false);
   });
 });
--- a/packages/gateway/__tests__/transaction_failure.spec.ts
+++ b/packages/gateway/__tests__/transaction_failure.spec.ts
@@ -12,43 +12,46 @@
 const COMMIT: SessionStatement = {kind: 'commit'};
 const ROLLBACK: SessionStatement = {kind: 'rollback'};
 
-function told({state, answer}: SessionTransition): [string, string] {
+function summarize({state, answer}: SessionTransition): [string, string] {
   return [state, answer.error?.name ?? 'ok'];
 }
 
 describe('a transaction whose statement failed', () => {
-  test('is rolled back, and stays failed until its end', () => {
+  test('is rolled back and stays failed until it is ended', () => {
     const failed = failTransaction(READ, 'answer lost', true);
-    expect(told(failed)).toEqual(['failed', 'aborted']);
-    expect(told(answerInFailedTransaction(READ))).toEqual([
+    expect(summarize(failed)).toEqual(['failed', 'aborted']);
+    expect(summarize(answerInFailedTransaction(READ))).toEqual([
       'failed',
       'malformed',
     ]);
-    expect(told(answerInFailedTransaction(COMMIT))).toEqual([
+    expect(summarize(answerInFailedTransaction(COMMIT))).toEqual([
       'idle',
       'aborted',
     ]);
-    expect(told(answerInFailedTransaction(ROLLBACK))).toEqual(['idle', 'ok']);
+    expect(summarize(answerInFailedTransaction(ROLLBACK))).toEqual([
+      'idle',
+      'ok',
+    ]);
   });
 
-  test('is in doubt if its commit wrote and gave no answer', () => {
+  test('is in doubt if a commit of writes may have taken effect', () => {
     const ends = (['answer lost', 'failed', 'timedOut'] as const).map(reason =>
-      told(failTransaction(COMMIT, reason, true)),
+      summarize(failTransaction(COMMIT, reason, true)),
     );
     expect(ends).toEqual(ends.map(() => ['idle', 'inDoubt']));
   });
 
-  test('is aborted if its commit has certainly not run, or wrote nothing', () => {
+  test('is aborted if its commit has certainly not run or wrote nothing', () => {
     const ends = [
       failTransaction(COMMIT, 'readOnly', true),
       failTransaction(COMMIT, 'busy', true),
       failTransaction(COMMIT, 'answer lost', false),
-    ].map(told);
+    ].map(summarize);
     expect(ends).toEqual(ends.map(() => ['idle', 'aborted']));
   });
 
-  test('has ended as asked if its rollback got no answer', () => {
+  test('ends without an error if its rollback is not answered', () => {
     const end = failTransaction(ROLLBACK, 'answer lost', true);
-    expect(told(end)).toEqual(['idle', 'ok']);
+    expect(summarize(end)).toEqual(['idle', 'ok']);
   });
 });
