--- a/packages/gateway/src/create_gateway.ts
+++ b/packages/gateway/src/create_gateway.ts
@@ -101,8 +101,8 @@
 const GROUP_RELEASE_DELAY_MS: Milliseconds = 1000;
 
 /**
- * Interval of the check which groups this proxy owns. Several checks fit into
- * the time after which the unchanged row of another proxy counts as stale.
+ * Interval between checks of which groups this proxy owns. Several checks fit
+ * into the time after which the unchanged row of another proxy counts as stale.
  */
 const OWNERSHIP_CHECK_INTERVAL_MS: Milliseconds = 500;
 
--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -265,8 +265,8 @@
         events: events.gateway,
         settings: name => gateway.configuration.group(name),
         reachesPrimary(name) {
-          const leader = gateway.group(name)?.leader();
-          return leader !== undefined && hasAnsweredRecently(leader);
+          const primary = gateway.group(name)?.leader();
+          return primary !== undefined && hasAnsweredRecently(primary);
         },
         isStopping,
         registerHandlers: quota.serve,
--- a/packages/gateway/src/dispatch_types.ts
+++ b/packages/gateway/src/dispatch_types.ts
@@ -44,7 +44,7 @@
   readonly pinned: PinnedConnection | undefined;
 }
 
-/** Time to retry after, for refusals without a better estimate. */
+/** Retry delay in refusals without a better estimate. */
 export const DEFAULT_RETRY_AFTER_MS: Milliseconds = 300;
 
 /** Answers a statement that has not run with the reason and a time to retry. */
--- a/packages/gateway/src/hedged_attempt.ts
+++ b/packages/gateway/src/hedged_attempt.ts
@@ -32,7 +32,7 @@
   start(): Attempt | undefined;
 }
 
-/** Interval of the check whether the first attempt was sent. */
+/** Interval between checks of whether the first attempt was sent. */
 const SENT_POLL_INTERVAL_MS: Milliseconds = 50;
 
 /** Limits extra attempts to a small share of all, since they add load. */
--- a/packages/gateway/src/relay/connection_owners.ts
+++ b/packages/gateway/src/relay/connection_owners.ts
@@ -33,7 +33,7 @@
   count(settings: GroupSettings): number;
   /** True once the running proxies are known. */
   areKnown(): boolean;
-  /** True if a running proxy has this relay address, or none is known yet. */
+  /** True if a running proxy has the relay address, or while none is known. */
   isLive(relayAddress: string): boolean;
   /** Connection owners to relay statements to, without this proxy. */
   otherOwners(settings: GroupSettings): readonly PresentProxy[];
--- a/packages/gateway/src/relay/create_relay.ts
+++ b/packages/gateway/src/relay/create_relay.ts
@@ -1,4 +1,4 @@
-/** Wires the parts that run statements through peers and run theirs here. */
+/** Wires the relay, which runs statements through peers and theirs here. */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import {
   type HandlerTable,
--- a/packages/gateway/src/relay/peer_latency.ts
+++ b/packages/gateway/src/relay/peer_latency.ts
@@ -32,9 +32,12 @@
 const PEER_WEIGHT = 0.2;
 /** Weight in a workload's average, to which all of its peers contribute. */
 const WORKLOAD_WEIGHT = 0.05;
-/** A slow peer takes longer than its workload's average by this factor, */
+/**
+ * A peer is slow if it is expected to take longer than this multiple of its
+ * workload's average plus `SLOW_MARGIN_MS`.
+ */
 const SLOW_FACTOR = 2;
-/** and by this margin on top, so that the way to another region is worth it. */
+/** Covers the longer round trip if another region is used instead. */
 const SLOW_MARGIN_MS: Milliseconds = 40;
 /** Average of a workload before its first answer. */
 const INITIAL_AVERAGE_MS: Milliseconds = 20;
@@ -88,7 +91,7 @@
     );
   }
 
-  /** Detects a peer that doesn't answer at all. */
+  /** Longest wait of an unanswered statement; detects an unresponsive peer. */
   function longestWait(
     {inFlight}: PeerLatency,
     now: Milliseconds,
--- a/packages/gateway/src/relay/primary_check.ts
+++ b/packages/gateway/src/relay/primary_check.ts
@@ -20,8 +20,9 @@
 export type PrimaryCheck = (group: string) => Task<boolean>;
 
 /**
- * Number of peers that are requested at once. If half of all proxies are
- * partitioned from the primary, all of these are in 1 case out of 64.
+ * Limit of peers that receive the request at once. If half of all proxies are
+ * partitioned from the primary, the probability that all of these are is 1 in
+ * 64.
  */
 const MAXIMUM_PEERS = 6;
 
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -86,7 +86,7 @@
 const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 /** Added to a statement's timeout for the network delay of the answer. */
 const ANSWER_MARGIN_MS: Milliseconds = 60;
-/** Interval of the check whether the caller still waits. */
+/** Interval between checks of whether the caller still waits. */
 const ABANDON_CHECK_INTERVAL_MS: Milliseconds = 100;
 /** Interval of heartbeats to a proxy that runs statements for this one. */
 const HEARTBEAT_INTERVAL_MS: Milliseconds = 250;
--- a/packages/gateway/src/relay/relay_messages.ts
+++ b/packages/gateway/src/relay/relay_messages.ts
@@ -128,7 +128,7 @@
   z.object({isReached: z.boolean()}),
 );
 
-/** Heartbeat. */
+/** Heartbeat; an answer shows that the other proxy is responsive. */
 export const relayPing = defineMethod('relay.ping', z.object({}), z.object({}));
 
 /** Notification: the answer isn't awaited, or the transaction has ended. */
--- a/packages/gateway/src/relay/relay_server.ts
+++ b/packages/gateway/src/relay/relay_server.ts
@@ -70,7 +70,7 @@
 
 /**
  * A sender that waits for anything sends several heartbeats in this time. One
- * that is silent for longer is considered stopped, and its transactions are
+ * that is unresponsive for longer counts as stopped, and its transactions are
  * rolled back.
  */
 const SENDER_TIMEOUT_MS: Milliseconds = 2000;
@@ -228,8 +228,8 @@
     function* closeUnresponsive(): Task<void> {
       while (!peer.closed.isSettled()) {
         yield* sleep(SENDER_CHECK_INTERVAL_MS);
-        const silence = timer.now() - peer.lastHeardAt();
-        if (requests.size > 0 && silence > SENDER_TIMEOUT_MS) {
+        const unresponsiveFor = timer.now() - peer.lastHeardAt();
+        if (requests.size > 0 && unresponsiveFor > SENDER_TIMEOUT_MS) {
           peer.close('silent');
         }
       }
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -1,7 +1,7 @@
 /**
  * Runs statements locally or through a peer: locally if this proxy is a
  * connection owner of the group, through a connection owner otherwise. A
- * connection owner that has no target also uses peers.
+ * connection owner without an available target tries its peers as well.
  */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import type {Milliseconds, Runtime, Task} from '@kelpstep/runtime';
--- a/packages/gateway/src/select_target.ts
+++ b/packages/gateway/src/select_target.ts
@@ -74,7 +74,7 @@
  * from the caller to this proxy and from here to the target.
  */
 const STALENESS_MARGIN_MS: Milliseconds = 150;
-/** Interval of the checks for a target that may serve a read. */
+/** Interval between attempts to select a target for a read. */
 const TARGET_POLL_INTERVAL_MS: Milliseconds = 15;
 /**
  * How long to wait for a proof of freshness before trying a peer: two round
@@ -113,9 +113,9 @@
     if (usablePrimary(group) !== undefined) {
       return 'present';
     }
-    const leader = group.leader();
-    const isLeaving = leader?.registration().isLeaving ?? false;
-    return isLeaving && leader?.isReached() ? 'leaving' : 'lost';
+    const primary = group.leader();
+    const isLeaving = primary?.registration().isLeaving ?? false;
+    return isLeaving && primary?.isReached() ? 'leaving' : 'lost';
   }
 
   /** Set if a lost primary is expected back too late for the statement. */
@@ -169,13 +169,13 @@
   }
 
   function usablePrimary(group: TargetGroup): TargetLink | undefined {
-    const leader = group.leader();
+    const primary = group.leader();
     const isUsable =
-      leader !== undefined &&
-      leader.isReached() &&
-      !leader.registration().isLeaving &&
+      primary !== undefined &&
+      primary.isReached() &&
+      !primary.registration().isLeaving &&
       !options.isPrimaryChanging(group.group);
-    return isUsable ? leader : undefined;
+    return isUsable ? primary : undefined;
   }
 
   /**
