--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -1,6 +1,6 @@
 /**
- * Wires a proxy of statement sessions: what it follows in the platform's store,
- * the gateway, and the watch over each group's primary.
+ * Wires a proxy of statement sessions: the tables of the platform's store, the
+ * gateway, and the failure detector of each group's primary.
  */
 import {
   type QuotaTolerance,
@@ -47,112 +47,116 @@
 import type {GatewayConfiguration} from './configuration';
 import {type Gateway, createGateway} from './create_gateway';
 import type {GatewayEvents} from './gateway_events';
+import {createConnectionOwners} from './relay/connection_owners';
 import {type Relay, createRelay} from './relay/create_relay';
-import {createHolders} from './relay/holders';
-import type {LeaderCheck} from './relay/leader_check';
+import type {PrimaryCheck} from './relay/primary_check';
 
-/** What was decoded, and what had to be left out. */
+/** A decoded value, with a message for each entry that had to be ignored. */
 export interface Decoded<T> {
   readonly value: T;
   readonly findings: readonly string[];
 }
 
-/** Where the store keeps what, and how it is decoded. */
+/** Names of the tables in the store and decoders of their rows. */
 export interface StoreLayout {
   readonly configurationTable: string;
   readonly registrationTable: string;
-  /** Rows of the groups' changes of primary. */
+  /** Table of the groups' successions. */
   readonly successionTable: string;
-  /** Rows of the proxies that hand the tables on. */
+  /** Table of the proxies that distribute the tables. */
   readonly distributorTable: string;
-  /** Undefined while there is no configuration that can be read. */
+  /** The value is undefined while there is no readable configuration. */
   decodeConfiguration(
     rows: TableRows,
   ): Decoded<GatewayConfiguration | undefined>;
   decodeRegistrations(rows: TableRows): Decoded<readonly TargetRegistration[]>;
 }
 
-/** Within what time a confirmed change is to be known by every proxy. */
-export interface TableDelays {
+/** Times within which every proxy must know a confirmed change. */
+export interface StalenessBounds {
   readonly configuration: Milliseconds;
   readonly registrations: Milliseconds;
   /**
-   * A key that was taken away is not served for longer, even by a proxy that
-   * can't learn of it; undefined if such a proxy goes on with what it knows.
+   * Time after which a revoked key is no longer accepted, even by a proxy that
+   * receives no updates; undefined if such a proxy continues with its known
+   * state.
    */
   readonly revocation?: Milliseconds | undefined;
 }
 
-/** What a proxy tells of itself, for logs and metrics. */
+/** Events of a proxy, for logs and metrics. */
 export interface StatementProxyEvents {
   readonly tables: TableFeedEvents;
   readonly gateway: GatewayEvents;
   targets(group: string): TargetGroupEvents;
   succession(group: string): SuccessionEvents;
   onConfiguration(version: number): void;
-  /** Something in the store that can't be used. */
+  /** An entry in the store can't be used. */
   onFinding(place: 'configuration' | 'registration', message: string): void;
-  /** Other proxies can't send statements to this one. */
+  /** The relay address can't be listened on, so peers can't relay here. */
   onListenFailure(message: string): void;
 }
 
-/** What a proxy is made of. */
+/** Dependencies of a statement proxy. */
 export interface StatementProxyOptions {
   readonly runtime: Runtime;
   readonly self: PresentProxy;
-  /** Relative to others: those with more hand the tables on sooner. */
+  /** Relative to other proxies: those with more become distributors sooner. */
   readonly capacity: number;
   /** Carries tables and statements between proxies. */
   readonly transport: Transport;
   readonly store: TableStore;
   readonly layout: StoreLayout;
-  readonly delays: TableDelays;
-  /** How quotas are judged; without it they are never exceeded. */
+  readonly delays: StalenessBounds;
+  /** How far quotas may be exceeded at the start; undefined: not at all. */
   readonly quotaTolerance?: QuotaTolerance | undefined;
   readonly open: OpenTargetConnection;
   readonly readStatus: ReadTargetStatus;
   readonly orderPromotion: OrderPromotion;
   readonly policies: AdmissionPolicies;
   readonly events: StatementProxyEvents;
-  /** Addresses of proxies to ask first; they may be out of date. */
+  /** Addresses of proxies to contact first; they may be out of date. */
   readonly seeds: readonly string[];
 }
 
 /** A running proxy of statement sessions. */
 export interface StatementProxy {
   readonly gateway: Gateway;
-  /** How old the copies of the store's tables are. */
+  /** Ages of the local copies of the store's tables. */
   tableAges(): readonly TableAge[];
-  /** Part of all quotas that this proxy counts against. */
+  /** Share of all quotas that this proxy counts against through leases. */
   quotaPart(): number;
-  /** Ends what other proxies are connected to; nothing is served any more. */
+  /** Stops serving, and closes the connections of other proxies. */
   close(): void;
 }
 
-/** Other proxies keep their turn for so long after the row's last step. */
-const CHANGE_HOLD: Milliseconds = 2500;
+/**
+ * How long a succession counts as in progress after the last change of its row:
+ * other proxies don't take it over before.
+ */
+const SUCCESSION_ROW_TIMEOUT_MS: Milliseconds = 2500;
 
 /**
- * A target counts as heard for so long after it answered a question: the pause
- * between two questions, and a round trip between regions.
+ * How long a primary counts as reached after its last answered status probe:
+ * the interval between two probes and a round trip between regions.
  */
-const HEARD_WITHIN: Milliseconds = 450;
+const PRIMARY_ANSWER_WINDOW_MS: Milliseconds = 450;
 
-/** Targets tell themselves who leads; the rows only make it known sooner. */
-const SUCCESSION_KNOWN_WITHIN: Milliseconds = 12_000;
+/** Targets report the primary; the rows only make it known sooner. */
+const SUCCESSION_STALENESS_BOUND_MS: Milliseconds = 12_000;
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_PEERS: ReadonlySet<string> = new Set();
 
-/** A proxy by itself reaches no other. */
-const UNREACHED = createFailure('OUTCOME_UNKNOWN', {outcome: 'not_run'});
+/** Result of requests to other proxies while there is no relay. */
+const NO_PEERS_FAILURE = createFailure('OUTCOME_UNKNOWN', {outcome: 'not_run'});
 
-/** A proxy by itself has nobody to ask. */
-function* nobodyAsked(): Task<boolean> {
+/** Primary check while there is no relay. */
+function* reachedByNoPeer(): Task<boolean> {
   return false;
 }
 
-interface SeenRow extends VersionedSuccession {
-  readonly seenAt: Milliseconds;
+interface ObservedSuccession extends VersionedSuccession {
+  readonly observedAt: Milliseconds;
 }
 
 /** Creates a proxy; its parts run until the runtime is shut down. */
@@ -162,28 +166,30 @@
   const {runtime, self, store, layout, delays, events, orderPromotion} =
     options;
   const {timer} = runtime;
-  const rows = new Map<string, SeenRow>();
-  const reported = new Set<string>();
-  let isLeaderReached: LeaderCheck = nobodyAsked;
-  let lostPeers: () => ReadonlySet<string> = () => NOBODY;
+  const rows = new Map<string, ObservedSuccession>();
+  const reportedFindings = new Set<string>();
+  let isPrimaryReachedByPeer: PrimaryCheck = reachedByNoPeer;
+  let lostPeers: () => ReadonlySet<string> = () => NO_PEERS;
   let relay: Relay | undefined;
-  const holders = createHolders({
+  const connectionOwners = createConnectionOwners({
     self,
     live: () => feed.live(),
     lost: () => lostPeers(),
   });
 
-  function isHeard(link: TargetLink): boolean {
-    const silence = timer.now() - link.lastAskedAt();
-    return link.isReached() && silence < HEARD_WITHIN;
+  function hasAnsweredRecently(link: TargetLink): boolean {
+    const age = timer.now() - link.lastAskedAt();
+    return link.isReached() && age < PRIMARY_ANSWER_WINDOW_MS;
   }
 
-  function isChanging(group: string): boolean {
+  function isPrimaryChanging(group: string): boolean {
     const row = rows.get(group);
     const phase = row?.succession.phase;
-    const isUnderWay = phase === 'stopping' || phase === 'ordered';
+    const isInProgress = phase === 'stopping' || phase === 'ordered';
     return (
-      row !== undefined && isUnderWay && timer.now() - row.seenAt < CHANGE_HOLD
+      row !== undefined &&
+      isInProgress &&
+      timer.now() - row.observedAt < SUCCESSION_ROW_TIMEOUT_MS
     );
   }
 
@@ -196,7 +202,7 @@
     return feed.age(layout.configurationTable) <= revocation;
   }
 
-  function watch(group: TargetGroup): SuccessionWatch {
+  function monitorPrimary(group: TargetGroup): SuccessionWatch {
     return watchSuccession({
       runtime,
       group,
@@ -206,13 +212,13 @@
       table: layout.successionTable,
       readStatus: options.readStatus,
       events: events.succession(group.group),
-      isLeaderReachedElsewhere: () => isLeaderReached(group.group),
+      isLeaderReachedElsewhere: () => isPrimaryReachedByPeer(group.group),
       row: () => rows.get(group.group),
-      rowSeenAt: () => rows.get(group.group)?.seenAt ?? -Infinity,
+      rowSeenAt: () => rows.get(group.group)?.observedAt ?? -Infinity,
     });
   }
 
-  /** A proxy that others can't reach shares nothing with them. */
+  /** A proxy without a relay address doesn't share quotas with others. */
   function fleetSize(): number | undefined {
     return self.relayAddress === '' ? 1 : feed.fleetSize();
   }
@@ -229,7 +235,7 @@
     isUsable: ({relayAddress}) => relay?.isUsable(relayAddress) ?? false,
     request: ({relayAddress}, method, parameters, timeout) =>
       relay?.request(relayAddress, method, parameters, timeout) ??
-      settledFuture(Err(UNREACHED)),
+      settledFuture(Err(NO_PEERS_FAILURE)),
   });
 
   const gateway = createGateway({
@@ -240,12 +246,12 @@
     quota,
     events: events.gateway,
     groupEvents: events.targets,
-    holds: holders.holds,
-    holders: holders.count,
-    isChanging,
+    ownsConnections: connectionOwners.ownsConnections,
+    ownerCount: connectionOwners.count,
+    isPrimaryChanging,
     isConfigurationCurrent,
     mayTrustKeys,
-    onGroup: watch,
+    monitorPrimary,
     createRelay(local, isStopping) {
       if (self.relayAddress === '') {
         return {dispatcher: local, pending: () => 0, close: () => {}};
@@ -255,24 +261,24 @@
         transport: options.transport,
         self,
         local,
-        holders,
+        connectionOwners,
         events: events.gateway,
         settings: name => gateway.configuration.group(name),
-        reachesLeader(name) {
-          const leader = gateway.group(name)?.leader();
-          return leader !== undefined && isHeard(leader);
+        reachesPrimary(name) {
+          const primary = gateway.group(name)?.leader();
+          return primary !== undefined && hasAnsweredRecently(primary);
         },
         isStopping,
-        serveOthers: quota.serve,
+        registerHandlers: quota.serve,
         onListenFailure: events.onListenFailure,
       });
-      isLeaderReached = relay.isLeaderReached;
+      isPrimaryReachedByPeer = relay.isPrimaryReachedByPeer;
       lostPeers = relay.lost;
       return relay;
     },
   });
 
-  function takeConfiguration(tableRows: TableRows): void {
+  function applyConfiguration(tableRows: TableRows): void {
     const {value, findings} = layout.decodeConfiguration(tableRows);
     const isOld = value !== undefined && !gateway.configure(value);
     if (isOld) {
@@ -286,33 +292,33 @@
     }
   }
 
-  function takeRegistrations(tableRows: TableRows): void {
+  function applyRegistrations(tableRows: TableRows): void {
     const {value, findings} = layout.decodeRegistrations(tableRows);
     gateway.register(value);
     for (const message of findings) {
-      if (!reported.has(message)) {
-        reported.add(message);
+      if (!reportedFindings.has(message)) {
+        reportedFindings.add(message);
         events.onFinding('registration', message);
       }
     }
   }
 
-  function takeSuccession(key: string, {value, version}: StoredRow): void {
+  function applySuccession(key: string, {value, version}: StoredRow): void {
     const name = key.slice(SUCCESSION_PREFIX.length);
     const parsed = successionSchema.safeParse(value);
     if (!parsed.success || rows.get(name)?.version === version) {
       return;
     }
-    rows.set(name, {succession: parsed.data, version, seenAt: timer.now()});
+    rows.set(name, {succession: parsed.data, version, observedAt: timer.now()});
     const group = gateway.group(name);
     void group?.link(parsed.data.target)?.askStatus();
     group?.changes.give();
   }
 
-  function takeSuccessions(tableRows: TableRows): void {
+  function applySuccessions(tableRows: TableRows): void {
     for (const [key, row] of tableRows) {
       if (key.startsWith(SUCCESSION_PREFIX)) {
-        takeSuccession(key, row);
+        applySuccession(key, row);
       }
     }
   }
@@ -329,17 +335,17 @@
       {
         table: layout.configurationTable,
         knownWithin: delays.configuration,
-        onRows: takeConfiguration,
+        onRows: applyConfiguration,
       },
       {
         table: layout.registrationTable,
         knownWithin: delays.registrations,
-        onRows: takeRegistrations,
+        onRows: applyRegistrations,
       },
       {
         table: layout.successionTable,
-        knownWithin: SUCCESSION_KNOWN_WITHIN,
-        onRows: takeSuccessions,
+        knownWithin: SUCCESSION_STALENESS_BOUND_MS,
+        onRows: applySuccessions,
       },
     ],
     events: events.tables,
--- /dev/null
+++ b/packages/gateway/src/hedged_attempt.ts
@@ -0,0 +1,115 @@
+/**
+ * Hedges an unanswered attempt with a second one: the answer of a statement
+ * that has run may get lost, which would otherwise show only at the statement's
+ * timeout. Only for statements that may run twice.
+ */
+import {
+  type Future,
+  type Milliseconds,
+  type Task,
+  type TimerService,
+  createDeferred,
+  waitAtMost,
+  waitFor,
+} from '@kelpstep/runtime';
+import type {PinnedStart} from '@kelpstep/targets';
+
+/**
+ * An attempt in progress. `pinned` is set in its result only if it began a
+ * transaction.
+ */
+export type Attempt = Future<PinnedStart>;
+
+/** Parameters of a hedged attempt. */
+export interface HedgedAttemptOptions {
+  readonly timer: TimerService;
+  readonly first: Attempt;
+  /** Monotonic time of sending the first; undefined while it is queued. */
+  sentAt(): Milliseconds | undefined;
+  /** Time from sending the first until the second starts if unanswered. */
+  readonly hedgeDelay: Milliseconds;
+  /** Starts the second; undefined if there is no target or no budget for it. */
+  start(): Attempt | undefined;
+}
+
+/** Interval between checks of whether the first attempt was sent. */
+const SENT_POLL_INTERVAL_MS: Milliseconds = 50;
+
+/** Limits extra attempts to a small share of all, since they add load. */
+export interface RetryBudget {
+  /** Records a first attempt, which adds a share of an extra one. */
+  deposit(): void;
+  /** Takes one extra attempt from the budget; false if none is left. */
+  tryWithdraw(): boolean;
+}
+
+/** Extra attempts per first attempt. */
+const RETRY_RATIO = 0.1;
+/** Limits the burst of extra attempts that may follow a quiet period. */
+const MAXIMUM_SAVED_RETRIES = 20;
+
+/** Creates a full budget. */
+export function createRetryBudget(): RetryBudget {
+  let saved = MAXIMUM_SAVED_RETRIES;
+  return {
+    deposit() {
+      saved = Math.min(MAXIMUM_SAVED_RETRIES, saved + RETRY_RATIO);
+    },
+    tryWithdraw() {
+      if (saved < 1) {
+        return false;
+      }
+      saved -= 1;
+      return true;
+    },
+  };
+}
+
+function isSuccessful({outcome}: PinnedStart): boolean {
+  return outcome.kind === 'answered' && outcome.answer.error === undefined;
+}
+
+/** The first success; if both fail, the result that came first. */
+function awaitFirstSuccess(first: Attempt, second: Attempt): Attempt {
+  const result = createDeferred<PinnedStart>();
+  const ended: PinnedStart[] = [];
+
+  function onEnd(end: PinnedStart): void {
+    ended.push(end);
+    const isLast = ended.length === 2;
+    const isTaken =
+      (isSuccessful(end) || isLast) &&
+      result.settle(isSuccessful(end) ? end : (ended[0] ?? end));
+    if (!isTaken) {
+      end.pinned?.end();
+    }
+  }
+
+  first.onSettled(onEnd);
+  second.onSettled(onEnd);
+  return result.future;
+}
+
+/**
+ * Waits for the first attempt, and for a second one if the first stays
+ * unanswered for the hedge delay.
+ */
+export function* awaitHedged(options: HedgedAttemptOptions): Task<PinnedStart> {
+  const {timer, first, hedgeDelay} = options;
+  for (;;) {
+    const sentAt = options.sentAt();
+    const hedgeAt = sentAt === undefined ? Infinity : sentAt + hedgeDelay;
+    const pause = Math.min(SENT_POLL_INTERVAL_MS, hedgeAt - timer.now());
+    const end = yield* waitAtMost(first, Math.max(0, pause));
+    if (end !== undefined) {
+      return end;
+    }
+    if (timer.now() >= hedgeAt) {
+      break;
+    }
+  }
+  const second = options.start();
+  return yield* waitFor(
+    second === undefined ? first : awaitFirstSuccess(first, second),
+  );
+}
--- /dev/null
+++ b/packages/gateway/src/relay/connection_owners.ts
@@ -0,0 +1,105 @@
+/**
+ * Selects the connection owners of a group: the proxies that keep connections
+ * to its targets. These are all proxies if the targets accept enough
+ * connections; otherwise as many as the targets accept, spread over the data
+ * centres. Every proxy selects the same ones.
+ */
+import {
+  type CandidateSet,
+  createCandidateSet,
+  pickResponsible,
+} from '@kelpstep/membership';
+import type {PresentProxy} from '@kelpstep/table-feed';
+import {type GroupSettings, mostHolders} from '@kelpstep/targets';
+
+/** Inputs of the selection. */
+export interface ConnectionOwnersOptions {
+  readonly self: PresentProxy;
+  /** Running proxies; a new array after each change. */
+  live(): readonly PresentProxy[] | undefined;
+  /**
+   * Relay addresses that have been unreachable for some time; a new set after
+   * each change. Other proxies replace these as connection owners long before
+   * their rows expire.
+   */
+  lost(): ReadonlySet<string>;
+}
+
+/** The connection owners of each group. */
+export interface ConnectionOwners {
+  /** True if this proxy is one; false while the others are unknown. */
+  ownsConnections(settings: GroupSettings): boolean;
+  /** Number of connection owners; `Infinity` while unknown. */
+  count(settings: GroupSettings): number;
+  /** True once the running proxies are known. */
+  areKnown(): boolean;
+  /** True if a running proxy has the relay address, or while none is known. */
+  isLive(relayAddress: string): boolean;
+  /** Connection owners to relay statements to, without this proxy. */
+  otherOwners(settings: GroupSettings): readonly PresentProxy[];
+}
+
+interface OwnerSelection {
+  readonly count: number;
+  readonly isOwner: boolean;
+  readonly otherOwners: readonly PresentProxy[];
+}
+
+/** Creates the selection, which is cached for each list of proxies. */
+export function createConnectionOwners(
+  options: ConnectionOwnersOptions,
+): ConnectionOwners {
+  const {self} = options;
+  let selectedFrom: readonly PresentProxy[] | undefined;
+  let selectedWithout: ReadonlySet<string> | undefined;
+  let reachable: readonly PresentProxy[] = [];
+  let candidates: CandidateSet<PresentProxy> | undefined;
+  const selections = new Map<string, OwnerSelection>();
+
+  function selectOwners(group: string, maximum: number): OwnerSelection {
+    let owners = reachable;
+    if (reachable.length > maximum) {
+      candidates ??= createCandidateSet(reachable);
+      owners = pickResponsible(group, candidates, maximum);
+    }
+    const others = owners.filter(({proxy}) => proxy !== self.proxy);
+    return {
+      count: owners.length,
+      isOwner: others.length < owners.length,
+      otherOwners: others.filter(({relayAddress}) => relayAddress !== ''),
+    };
+  }
+
+  function selectionFor({
+    group,
+    connectionLimit,
+  }: GroupSettings): OwnerSelection | undefined {
+    const live = options.live();
+    const lost = options.lost();
+    if (live === undefined) {
+      return undefined;
+    }
+    if (live !== selectedFrom || lost !== selectedWithout) {
+      selectedFrom = live;
+      selectedWithout = lost;
+      reachable = live.filter(({relayAddress}) => !lost.has(relayAddress));
+      candidates = undefined;
+      selections.clear();
+    }
+    const maximum = mostHolders(connectionLimit);
+    const key = `${group} ${maximum}`;
+    const selection = selections.get(key) ?? selectOwners(group, maximum);
+    selections.set(key, selection);
+    return selection;
+  }
+
+  return {
+    ownsConnections: settings => selectionFor(settings)?.isOwner ?? false,
+    areKnown: () => options.live() !== undefined,
+    isLive: address =>
+      options.live()?.some(({relayAddress}) => relayAddress === address) ??
+      true,
+    count: settings => selectionFor(settings)?.count ?? Infinity,
+    otherOwners: settings => selectionFor(settings)?.otherOwners ?? [],
+  };
+}
--- a/packages/gateway/src/relay/peer_reachability.ts
+++ b/packages/gateway/src/relay/peer_reachability.ts
@@ -1,6 +1,7 @@
 /**
- * Which proxies can be reached. One that can't is tried again in the background,
- * so that no statement pays for the attempt; after a while others take its part.
+ * Tracks which proxies are reachable. An unreachable one is retried in the
+ * background, so that no statement is delayed by the attempt; after some time
+ * other proxies replace it as a connection owner.
  */
 import {
   type Future,
@@ -13,41 +14,42 @@
   waitFor,
 } from '@kelpstep/runtime';
 
-/** What reachability is made of. */
+/** Dependencies of the reachability tracker. */
 export interface PeerReachabilityOptions {
   readonly runtime: Runtime;
-  /** Asks the proxy at an address for a sign of life. */
-  isAnswering(address: string): Future<boolean>;
-  /** False once the proxy at the address is no longer among those that run. */
-  isListed(address: string): boolean;
+  /** Sends a heartbeat request to an address; true if it is answered. */
+  sendHeartbeat(address: string): Future<boolean>;
+  /** False once no running proxy has the address. */
+  isLive(address: string): boolean;
 }
 
-/** Tells which proxies can be reached. */
+/** Tracks which proxies are reachable. */
 export interface PeerReachability {
-  /** A connection to the address failed or was lost. */
-  noteFailure(address: string): void;
-  /** False from a failure until it is reached again. */
+  /** Records that a connection to the address failed or was lost. */
+  recordFailure(address: string): void;
+  /** False from a failure until the address is reached again. */
   isUsable(address: string): boolean;
-  /** Addresses not reached for `LOST_AFTER`; another set after each change. */
+  /** Addresses unreachable for `LOST_AFTER_MS`; a new set after each change. */
   lost(): ReadonlySet<string>;
 }
 
 /**
- * Before a proxy is tried again: one that restarts is back soon, a cut or a dead one
- * costs two attempts a second.
+ * Backoff in milliseconds: short at first because a restarting proxy is back
+ * soon, and at most two attempts per second for one that is partitioned or
+ * stopped.
  */
-const PAUSES: RetryPauseBounds = {first: 100, longest: 500};
+const RETRY_BACKOFF: RetryPauseBounds = {first: 100, longest: 500};
 /**
- * Silence after which another proxy holds connections in its place. A process that
- * is killed starts again within about a second.
+ * Time after which another proxy replaces an unreachable connection owner. A
+ * killed process restarts within about a second.
  */
-const LOST_AFTER: Milliseconds = 1200;
+const LOST_AFTER_MS: Milliseconds = 1200;
 
-/** Creates reachability; all proxies count as reached at first. */
+/** Creates a tracker; all proxies count as reachable at first. */
 export function createPeerReachability(
   options: PeerReachabilityOptions,
 ): PeerReachability {
-  const {runtime, isAnswering, isListed} = options;
+  const {runtime, sendHeartbeat, isLive} = options;
   const {timer, random} = runtime;
   const failing = new Set<string>();
   let lost: ReadonlySet<string> = new Set();
@@ -65,27 +67,30 @@
     lost = next;
   }
 
-  function forget(address: string): void {
+  function clearFailure(address: string): void {
     failing.delete(address);
     setLost(address, false);
   }
 
-  function* tryAgain(address: string, since: Milliseconds): Task<void> {
-    for (let failures = 0; isListed(address); failures++) {
-      yield* sleep(retryPause(PAUSES, failures, random));
-      if (yield* waitFor(isAnswering(address))) {
+  function* retryUntilReached(
+    address: string,
+    since: Milliseconds,
+  ): Task<void> {
+    for (let failures = 0; isLive(address); failures++) {
+      yield* sleep(retryPause(RETRY_BACKOFF, failures, random));
+      if (yield* waitFor(sendHeartbeat(address))) {
         break;
       }
-      setLost(address, timer.now() - since >= LOST_AFTER);
+      setLost(address, timer.now() - since >= LOST_AFTER_MS);
     }
-    forget(address);
+    clearFailure(address);
   }
 
   return {
-    noteFailure(address) {
+    recordFailure(address) {
       if (!failing.has(address)) {
         failing.add(address);
-        runtime.spawn('reach peer', tryAgain(address, timer.now()));
+        runtime.spawn('reach peer', retryUntilReached(address, timer.now()));
       }
     },
     isUsable: address => !failing.has(address),
--- /dev/null
+++ b/packages/gateway/src/relay/primary_check.ts
@@ -0,0 +1,47 @@
+/**
+ * Checks through peers whether a group's primary is reachable, so that a proxy
+ * that is partitioned from the primary doesn't consider it lost.
+ */
+import type {PresentProxy} from '@kelpstep/table-feed';
+import {type Runtime, type Task, waitFor} from '@kelpstep/runtime';
+
+import {inRandomOrder} from './peer_order';
+import type {RelayClient} from './relay_client';
+
+/** Dependencies of the check. */
+export interface PrimaryCheckOptions {
+  readonly runtime: Runtime;
+  readonly client: RelayClient;
+  /** The group's connection owners, without this proxy. */
+  peers(group: string): readonly PresentProxy[];
+}
+
+/** True if another proxy reaches the group's primary. */
+export type PrimaryCheck = (group: string) => Task<boolean>;
+
+/**
+ * Limit of peers that receive the request at once. If half of all proxies are
+ * partitioned from the primary, the probability that all of these are is 1 in
+ * 64.
+ */
+const MAXIMUM_PEERS = 6;
+
+/** Creates a check that uses the client's connections. */
+export function createPrimaryCheck(options: PrimaryCheckOptions): PrimaryCheck {
+  const {random} = options.runtime;
+  const {client} = options;
+
+  return function* isReachedByPeer(group) {
+    const usablePeers = options
+      .peers(group)
+      .filter(({relayAddress}) => client.isUsable(relayAddress));
+    const answers = inRandomOrder(random, usablePeers)
+      .slice(0, MAXIMUM_PEERS)
+      .map(({relayAddress}) => client.reachesPrimary(relayAddress, group));
+    let isReached = false;
+    for (const answer of answers) {
+      isReached = (yield* waitFor(answer)) || isReached;
+    }
+    return isReached;
+  };
+}
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * Runs statements here or through another proxy: here if this one holds
- * connections to the group's targets, through a holder otherwise, and through
- * any that reaches a place while this one doesn't.
+ * Runs statements locally or through a peer: locally if this proxy is a
+ * connection owner of the group, through a connection owner otherwise. A
+ * connection owner without an available target tries its peers as well.
  */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import type {Milliseconds, Runtime, Task} from '@kelpstep/runtime';
@@ -9,169 +9,183 @@
 
 import type {LocalDispatcher} from '../dispatch';
 import {
-  DEFAULT_RETRY_AFTER,
-  type Dispatch,
+  DEFAULT_RETRY_AFTER_MS,
+  type DispatchRequest,
   type DispatchResult,
   type Dispatcher,
   refusalAnswer,
 } from '../dispatch_types';
-import {createAttemptBudget} from '../second_attempt';
-import {type LoadedPeer, createPeerLoad} from './peer_load';
+import {createRetryBudget} from '../hedged_attempt';
+import {type MeasuredPeer, createPeerLatencyTracker} from './peer_latency';
 import {
   type PeerRank,
-  type ProxyPlace,
+  type ProxyLocation,
   nearestFirst,
   roundTripBetween,
 } from './peer_order';
 import type {RelayClient, RelayOutcome} from './relay_client';
 
-/** What a relaying dispatcher is made of. */
+/** Dependencies of a relaying dispatcher. */
 export interface RelayingDispatcherOptions {
   readonly runtime: Runtime;
   readonly local: LocalDispatcher;
   readonly client: RelayClient;
-  /** Where this proxy is: near peers are preferred. */
-  readonly place: ProxyPlace;
-  /** True if this proxy holds connections to the group's targets. */
-  holds(group: string): boolean;
-  /** Other proxies that hold some. */
+  /** Location of this proxy; near peers are preferred. */
+  readonly location: ProxyLocation;
+  /** True if this proxy is a connection owner of the group. */
+  ownsConnections(group: string): boolean;
+  /** The group's connection owners, without this proxy. */
   peers(group: string): readonly PresentProxy[];
 }
 
 /**
- * A peer that reaches no place is not asked again for so long: at most four
- * questions a second and group to each.
+ * How long a peer that had no target is not tried again: each peer gets at most
+ * four such requests per second and group.
  */
-const PAUSE_AFTER_REFUSAL: Milliseconds = 250;
+const REFUSAL_BACKOFF_MS: Milliseconds = 250;
 
-/** Of a result that no target has a part in. */
-const NOT_RUN = {target: '', attempts: 0, via: '', pinned: undefined};
+/** Fields of a result without a target. */
+const WITHOUT_TARGET = {target: '', attempts: 0, via: '', pinned: undefined};
 
-/** Creates a dispatcher over the local one. */
+/** Creates a dispatcher that extends the local one. */
 export function createRelayingDispatcher(
   options: RelayingDispatcherOptions,
 ): Dispatcher {
-  const {runtime, local, client, place} = options;
+  const {runtime, local, client, location} = options;
   const {timer, random} = runtime;
   const refusedAt = new Map<string, Milliseconds>();
-  const load = createPeerLoad();
-  const budget = createAttemptBudget();
+  const latency = createPeerLatencyTracker();
+  const budget = createRetryBudget();
 
-  /** Reads and writes may find different places. */
-  function sortOf({route, needsPrimary}: Dispatch): string {
+  /** Separates statements that need the primary from others. */
+  function workloadOf({route, needsPrimary}: DispatchRequest): string {
     return `${route.group} ${needsPrimary ? 'primary' : 'any'}`;
   }
 
-  function keyOf({proxy}: PresentProxy, work: Dispatch): string {
-    return `${sortOf(work)} ${proxy}`;
+  function keyOf({proxy}: PresentProxy, request: DispatchRequest): string {
+    return `${workloadOf(request)} ${proxy}`;
   }
 
-  function asLoaded(peer: PresentProxy, work: Dispatch): LoadedPeer {
-    const roundTrip = roundTripBetween(place, peer);
-    return {group: sortOf(work), proxy: peer.proxy, roundTrip};
+  function toMeasuredPeer(
+    peer: PresentProxy,
+    request: DispatchRequest,
+  ): MeasuredPeer {
+    const roundTrip = roundTripBetween(location, peer);
+    return {group: workloadOf(request), proxy: peer.proxy, roundTrip};
   }
 
-  function hasRefused(peer: PresentProxy, work: Dispatch): boolean {
-    const at = refusedAt.get(keyOf(peer, work)) ?? -Infinity;
-    return timer.now() - at < PAUSE_AFTER_REFUSAL;
+  function hasRefusedRecently(
+    peer: PresentProxy,
+    request: DispatchRequest,
+  ): boolean {
+    const at = refusedAt.get(keyOf(peer, request)) ?? -Infinity;
+    return timer.now() - at < REFUSAL_BACKOFF_MS;
   }
 
   function isUsable({relayAddress}: PresentProxy): boolean {
     return client.isUsable(relayAddress);
   }
 
-  function usablePeers(work: Dispatch): PresentProxy[] {
-    const usable = options.peers(work.route.group).filter(isUsable);
-    return nearestFirst(random, usable, peer => rankOf(peer, work));
+  function usablePeers(request: DispatchRequest): PresentProxy[] {
+    const usable = options.peers(request.route.group).filter(isUsable);
+    return nearestFirst(random, usable, peer => rankOf(peer, request));
   }
 
-  function rankOf(peer: PresentProxy, work: Dispatch): PeerRank {
-    const loaded = asLoaded(peer, work);
-    const isSlow = load.isSlow(loaded, timer.now());
-    return {roundTrip: loaded.roundTrip, isSlow};
+  function rankOf(peer: PresentProxy, request: DispatchRequest): PeerRank {
+    const measured = toMeasuredPeer(peer, request);
+    const isSlow = latency.isSlow(measured, timer.now());
+    return {roundTrip: measured.roundTrip, isSlow};
   }
 
-  function peersToAsk(work: Dispatch): PresentProxy[] {
-    return usablePeers(work).filter(peer => !hasRefused(peer, work));
+  function peersToTry(request: DispatchRequest): PresentProxy[] {
+    return usablePeers(request).filter(
+      peer => !hasRefusedRecently(peer, request),
+    );
   }
 
-  function isLate({arrivedAt, route}: Dispatch): boolean {
+  function isLate({arrivedAt, route}: DispatchRequest): boolean {
     return timer.now() >= arrivedAt + route.timeout;
   }
 
   function* dispatchTo(
     peer: PresentProxy,
-    work: Dispatch,
+    request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome> {
-    // A transaction waits for a connection of its own: that says little of the peer.
-    const isMeasured = work.statement.kind !== 'begin';
+    // A begin waits for its own connection, which says little about the peer.
+    const isMeasured = request.statement.kind !== 'begin';
     const end = isMeasured
-      ? load.begin(asLoaded(peer, work), timer.now())
+      ? latency.begin(toMeasuredPeer(peer, request), timer.now())
       : undefined;
-    const outcome = yield* client.dispatch(peer, work, mayWait);
+    const outcome = yield* client.dispatch(peer, request, mayWait);
     end?.(timer.now());
     return outcome;
   }
 
-  /** Others may have room for what one refused; a few may be asked. */
-  function mayAskAnother({answer}: DispatchResult): boolean {
-    return answer.error?.name === 'busy' && budget.spend();
+  /** After a refusal by an overloaded peer, another one may have capacity. */
+  function mayTryAnother({answer}: DispatchResult): boolean {
+    return answer.error?.name === 'busy' && budget.tryWithdraw();
   }
 
   /**
-   * The result of the first peer that took it, or the last refusal; undefined if
-   * it has not run and nobody refused it.
+   * The result of the first peer that accepted the request, or the last
+   * refusal; undefined if it has not run and no peer refused it.
    */
   function* tryPeers(
-    work: Dispatch,
+    request: DispatchRequest,
     peers: readonly PresentProxy[],
     mayWait: boolean,
   ): Task<DispatchResult | undefined> {
     let refusal: DispatchResult | undefined;
-    budget.earn();
+    budget.deposit();
     for (const peer of peers) {
-      if (isLate(work)) {
+      if (isLate(request)) {
         return refusal;
       }
-      const outcome = yield* dispatchTo(peer, work, mayWait);
+      const outcome = yield* dispatchTo(peer, request, mayWait);
       if (outcome.kind === 'ended') {
         refusal = outcome.result;
-        if (mayAskAnother(refusal)) {
+        if (mayTryAnother(refusal)) {
           continue;
         }
         return refusal;
       }
-      refusedAt.set(keyOf(peer, work), timer.now());
-      if (outcome.kind === 'lost' && work.isWrite) {
-        return endUnanswered(peer, 'inDoubt');
+      refusedAt.set(keyOf(peer, request), timer.now());
+      if (outcome.kind === 'lost' && request.isWrite) {
+        return unansweredResult(peer, 'inDoubt');
       }
-      if (outcome.kind === 'lost' && isLate(work)) {
-        return endUnanswered(peer, 'timedOut');
+      if (outcome.kind === 'lost' && isLate(request)) {
+        return unansweredResult(peer, 'timedOut');
       }
     }
     return refusal;
   }
 
-  function endUnanswered(
+  function unansweredResult(
     {proxy}: PresentProxy,
     name: 'inDoubt' | 'timedOut',
   ): DispatchResult {
     const answer = errorAnswer(name, 'idle');
-    return {...NOT_RUN, answer, attempts: 1, reason: 'answer lost', via: proxy};
+    return {
+      ...WITHOUT_TARGET,
+      answer,
+      attempts: 1,
+      reason: 'answer lost',
+      via: proxy,
+    };
   }
 
-  function* dispatchHere(work: Dispatch): Task<DispatchResult> {
-    const mayAskElsewhere = () =>
+  function* dispatchLocally(request: DispatchRequest): Task<DispatchResult> {
+    const mayTryPeers = () =>
       options
-        .peers(work.route.group)
-        .some(peer => isUsable(peer) && !hasRefused(peer, work));
+        .peers(request.route.group)
+        .some(peer => isUsable(peer) && !hasRefusedRecently(peer, request));
     for (;;) {
-      const result = yield* local.dispatchUnless(work, mayAskElsewhere);
+      const result = yield* local.tryDispatch(request, mayTryPeers);
       if (result !== undefined) {
         return result;
       }
-      const relayed = yield* tryPeers(work, peersToAsk(work), false);
+      const relayed = yield* tryPeers(request, peersToTry(request), false);
       if (relayed !== undefined) {
         return relayed;
       }
@@ -179,32 +193,35 @@
   }
 
   /**
-   * First to a holder that expects to run it at once; then one that waits, as
-   * the others do while there is no primary. Connections of its own are taken
-   * only if no holder is there: for each proxy there aren't enough.
+   * Tries a connection owner that expects to run the request at once, then one
+   * that may wait, as owners do while there is no primary. Opens local
+   * connections only if no connection owner is usable, since the targets don't
+   * accept enough connections for every proxy.
    */
-  function* dispatchThrough(work: Dispatch): Task<DispatchResult> {
+  function* dispatchThroughPeer(
+    request: DispatchRequest,
+  ): Task<DispatchResult> {
     const result =
-      (yield* tryPeers(work, peersToAsk(work), false)) ??
-      (yield* tryPeers(work, usablePeers(work), true));
+      (yield* tryPeers(request, peersToTry(request), false)) ??
+      (yield* tryPeers(request, usablePeers(request), true));
     if (result !== undefined) {
       return result;
     }
-    return usablePeers(work).length === 0 && !isLate(work)
-      ? yield* local.dispatch(work)
+    return usablePeers(request).length === 0 && !isLate(request)
+      ? yield* local.dispatch(request)
       : refuse();
   }
 
   function refuse(): DispatchResult {
     const reason = 'no other proxy took it';
-    const answer = refusalAnswer(reason, DEFAULT_RETRY_AFTER);
-    return {...NOT_RUN, answer, reason};
+    const answer = refusalAnswer(reason, DEFAULT_RETRY_AFTER_MS);
+    return {...WITHOUT_TARGET, answer, reason};
   }
 
   return {
-    dispatch: work =>
-      options.holds(work.route.group)
-        ? dispatchHere(work)
-        : dispatchThrough(work),
+    dispatch: request =>
+      options.ownsConnections(request.route.group)
+        ? dispatchLocally(request)
+        : dispatchThroughPeer(request),
   };
 }
--- /dev/null
+++ b/packages/gateway/src/select_read_target.ts
@@ -0,0 +1,88 @@
+/** Selects the target of a read from the known state of the group's targets. */
+import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
+import type {Milliseconds} from '@kelpstep/runtime';
+import type {ConnectionUser} from '@kelpstep/statements';
+import type {TargetGroup, TargetLink} from '@kelpstep/targets';
+
+/** Inputs of the selection. */
+export interface ReadTargetCriteria {
+  readonly group: TargetGroup;
+  /** Statistics key of statements that take about the same time. */
+  readonly kind: string;
+  /** User that the connection is opened for. */
+  readonly user: ConnectionUser;
+  /** Log position that the target must have reached. */
+  readonly position: LogPosition;
+  /** Monotonic times at which targets were tried for this statement. */
+  readonly triedAt: ReadonlyMap<string, Milliseconds>;
+  readonly now: Milliseconds;
+}
+
+/**
+ * How long a target is excluded after it lacked the position or was tried. A
+ * replica without lag applies a commit within this time.
+ */
+const EXCLUSION_TIME_MS: Milliseconds = 60;
+/**
+ * Added to the primary's expected time for reads that a replica may serve,
+ * because they delay the statements that need the primary.
+ */
+const PRIMARY_PENALTY_MS: Milliseconds = 10;
+
+/** Added if the target accepts no connection now; it may accept one soon. */
+const NO_CONNECTION_PENALTY_MS: Milliseconds = 300;
+
+/** Added for a replica's lag; `Infinity` if its log lacks the position. */
+function lagPenalty(
+  {group, position, now}: ReadTargetCriteria,
+  link: TargetLink,
+): Milliseconds {
+  const log = group.positions.logOf(link.target);
+  if (log === undefined) {
+    return EXCLUSION_TIME_MS;
+  }
+  const lacks = compareLogPositions(log.position, position) < 0;
+  const isCurrent = now - log.askedAt < EXCLUSION_TIME_MS;
+  return lacks && isCurrent ? Infinity : 0;
+}
+
+function isExcluded(
+  {triedAt, now}: ReadTargetCriteria,
+  link: TargetLink,
+): boolean {
+  const lastTriedAt = triedAt.get(link.target) ?? -Infinity;
+  return (
+    !link.isReached() ||
+    link.registration().isLeaving ||
+    now - lastTriedAt < EXCLUSION_TIME_MS
+  );
+}
+
+function costOf(criteria: ReadTargetCriteria, link: TargetLink): Milliseconds {
+  const time = link.expectedTime(criteria.kind) + (link.roundTrip() ?? 0);
+  const isPrimary = link === criteria.group.leader();
+  const connectionPenalty = link.isShutOut(criteria.user)
+    ? NO_CONNECTION_PENALTY_MS
+    : 0;
+  return (
+    time +
+    connectionPenalty +
+    (isPrimary ? PRIMARY_PENALTY_MS : lagPenalty(criteria, link))
+  );
+}
+
+/** The target expected to answer first; undefined if none is eligible. */
+export function selectReadTarget(
+  criteria: ReadTargetCriteria,
+): TargetLink | undefined {
+  let best: TargetLink | undefined;
+  let lowest = Infinity;
+  for (const link of criteria.group.links()) {
+    const cost = isExcluded(criteria, link) ? Infinity : costOf(criteria, link);
+    if (cost < lowest) {
+      lowest = cost;
+      best = link;
+    }
+  }
+  return best;
+}
--- /dev/null
+++ b/packages/gateway/src/select_target.ts
@@ -0,0 +1,297 @@
+/** Selects the target at which a statement may run, or waits for one. */
+import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
+import {
+  type Milliseconds,
+  type Runtime,
+  type Task,
+  waitAtMost,
+} from '@kelpstep/runtime';
+import type {TargetGroup, TargetLink} from '@kelpstep/targets';
+
+import {type DispatchRequest, statementKindOf} from './dispatch_types';
+import {
+  type PrimaryState,
+  createPrimaryOutageEstimator,
+} from './primary_outage';
+import {selectReadTarget} from './select_read_target';
+
+/** A target, and the log position that it must have reached. */
+export interface SelectedTarget {
+  readonly link: TargetLink;
+  readonly after: LogPosition | undefined;
+}
+
+/** No target is expected in time, but one after `retryAfter`. */
+export interface NoTarget {
+  readonly retryAfter: Milliseconds;
+}
+
+/**
+ * Where a statement may run. `elsewhere`: a peer may have a target for it;
+ * undefined: there was none in time.
+ */
+export type SelectionResult =
+  SelectedTarget | NoTarget | 'elsewhere' | undefined;
+
+/** Parameters of a target selection. */
+export interface TargetSearch {
+  readonly group: TargetGroup;
+  readonly work: DispatchRequest;
+  /** Monotonic time at which the selection is given up. */
+  readonly waitUntil: Milliseconds;
+  /** Monotonic times at which targets were tried for this statement. */
+  readonly triedAt: ReadonlyMap<string, Milliseconds>;
+  /** True if a peer may be tried while no target is available here. */
+  mayTryPeers(): boolean;
+}
+
+/** Dependencies of a target selector. */
+export interface TargetSelectorOptions {
+  readonly runtime: Runtime;
+  /** True while the group's primary is being replaced. */
+  isPrimaryChanging(group: string): boolean;
+}
+
+/** Selects targets for statements. */
+export interface TargetSelector {
+  find(search: TargetSearch): Task<SelectionResult>;
+  /**
+   * A target for a second attempt; the same one again if the statement needs
+   * the primary, undefined if there is none.
+   */
+  selectAlternative(
+    search: TargetSearch,
+    selected: SelectedTarget,
+  ): SelectedTarget | undefined;
+  /** Samples the state of the group's primary; to be called on every tick. */
+  observePrimary(group: TargetGroup): void;
+  /** True if a target is expected to be available without waiting. */
+  canSelectNow(group: TargetGroup, request: DispatchRequest): boolean;
+}
+
+/**
+ * Part of a route's maximum staleness that is reserved for the network delay
+ * from the caller to this proxy and from here to the target.
+ */
+const STALENESS_MARGIN_MS: Milliseconds = 150;
+/** Interval between attempts to select a target for a read. */
+const TARGET_POLL_INTERVAL_MS: Milliseconds = 15;
+/**
+ * How long to wait for a proof of freshness before trying a peer: two round
+ * trips between regions and the time to answer.
+ */
+const FRESHNESS_PROOF_TIMEOUT_MS: Milliseconds = 120;
+/** Traffic and status probes keep the proof of freshness younger than this. */
+const MAXIMUM_PROOF_AGE_MS: Milliseconds = 1000;
+
+function isPosition(
+  after: LogPosition | NoTarget | string | undefined,
+): after is LogPosition {
+  return typeof after === 'object' && 'term' in after;
+}
+
+/** True if no target accepts a connection of this proxy for the account. */
+function cannotConnect(
+  links: ReadonlyArray<TargetLink | undefined>,
+  {account}: DispatchRequest,
+): boolean {
+  return links.every(link => link?.isShutOut(account) ?? true);
+}
+
+/** Creates a target selector. */
+export function createTargetSelector(
+  options: TargetSelectorOptions,
+): TargetSelector {
+  const {timer} = options.runtime;
+  const outages = createPrimaryOutageEstimator();
+
+  function observePrimary(group: TargetGroup): void {
+    outages.recordState(group.group, primaryState(group), timer.now());
+  }
+
+  function primaryState(group: TargetGroup): PrimaryState {
+    if (usablePrimary(group) !== undefined) {
+      return 'present';
+    }
+    const primary = group.leader();
+    const isLeaving = primary?.registration().isLeaving ?? false;
+    return isLeaving && primary?.isReached() ? 'leaving' : 'lost';
+  }
+
+  /** Set if a lost primary is expected back too late for the statement. */
+  function lateReturn({group, waitUntil}: TargetSearch): NoTarget | undefined {
+    const now = timer.now();
+    observePrimary(group);
+    const retryAfter = outages.expected(group.group, now);
+    const isLate = retryAfter > 0 && now + retryAfter > waitUntil;
+    return isLate ? {retryAfter} : undefined;
+  }
+
+  function requiredCoverageTime({
+    route,
+    arrivedAt,
+  }: DispatchRequest): Milliseconds {
+    if (route.freshness === 'primary') {
+      return arrivedAt;
+    }
+    const usable = Math.max(0, route.maximumStaleness - STALENESS_MARGIN_MS);
+    return arrivedAt - usable;
+  }
+
+  /**
+   * The log position that the target must have reached. `again`: not known yet,
+   * but there is time left; undefined: there is no time left.
+   */
+  function* requiredPosition(
+    search: TargetSearch,
+  ): Task<LogPosition | NoTarget | 'again' | 'elsewhere' | undefined> {
+    const {group, work: request, waitUntil} = search;
+    // Only a primary proves freshness, and it may be lost during the wait.
+    const covering = yield* group.awaitCovering(
+      requiredCoverageTime(request),
+      Math.min(waitUntil, timer.now() + FRESHNESS_PROOF_TIMEOUT_MS),
+    );
+    if (covering === undefined) {
+      if (shouldTryPeers(search)) {
+        return 'elsewhere';
+      }
+      return (
+        lateReturn(search) ?? (timer.now() >= waitUntil ? undefined : 'again')
+      );
+    }
+    const {lastCommit} = request;
+    if (lastCommit === undefined) {
+      return covering;
+    }
+    return compareLogPositions(covering, lastCommit) < 0
+      ? lastCommit
+      : covering;
+  }
+
+  function usablePrimary(group: TargetGroup): TargetLink | undefined {
+    const primary = group.leader();
+    const isUsable =
+      primary !== undefined &&
+      primary.isReached() &&
+      !primary.registration().isLeaving &&
+      !options.isPrimaryChanging(group.group);
+    return isUsable ? primary : undefined;
+  }
+
+  /**
+   * Peers can't help while the primary is replaced: all wait for the same one.
+   */
+  function shouldTryPeers({group, mayTryPeers}: TargetSearch): boolean {
+    return !options.isPrimaryChanging(group.group) && mayTryPeers();
+  }
+
+  function* selectPrimary(search: TargetSearch): Task<SelectionResult> {
+    const {group, work: request, waitUntil} = search;
+    for (;;) {
+      const link = usablePrimary(group);
+      const remaining = waitUntil - timer.now();
+      if (remaining <= 0) {
+        return undefined;
+      }
+      if (link === undefined) {
+        if (shouldTryPeers(search)) {
+          return 'elsewhere';
+        }
+        const late = lateReturn(search);
+        if (late !== undefined) {
+          return late;
+        }
+        yield* waitAtMost(
+          group.changes.next(),
+          Math.min(remaining, FRESHNESS_PROOF_TIMEOUT_MS),
+        );
+        continue;
+      }
+      if (link.isShutOut(request.account) && shouldTryPeers(search)) {
+        return 'elsewhere';
+      }
+      if (request.isWrite) {
+        return {link, after: undefined};
+      }
+      const after = yield* requiredPosition(search);
+      if (after === 'again') {
+        continue;
+      }
+      if (!isPosition(after)) {
+        return after;
+      }
+      if (usablePrimary(group) === link) {
+        return {link, after};
+      }
+    }
+  }
+
+  function* selectForRead(search: TargetSearch): Task<SelectionResult> {
+    const {group, work: request, waitUntil, triedAt} = search;
+    for (;;) {
+      const after = yield* requiredPosition(search);
+      if (after === 'again') {
+        continue;
+      }
+      if (!isPosition(after)) {
+        return after;
+      }
+      const link = selectReadTarget({
+        group,
+        kind: statementKindOf(request),
+        user: request.account,
+        position: after,
+        triedAt,
+        now: timer.now(),
+      });
+      if (link !== undefined) {
+        return {link, after};
+      }
+      if (cannotConnect(group.links(), request) && shouldTryPeers(search)) {
+        return 'elsewhere';
+      }
+      const remaining = waitUntil - timer.now();
+      if (remaining <= 0) {
+        return undefined;
+      }
+      yield* waitAtMost(
+        group.changes.next(),
+        Math.min(remaining, TARGET_POLL_INTERVAL_MS),
+      );
+    }
+  }
+
+  return {
+    observePrimary,
+    find: search =>
+      search.work.needsPrimary ? selectPrimary(search) : selectForRead(search),
+    selectAlternative({group, work: request, triedAt}, selected) {
+      if (request.needsPrimary || selected.after === undefined) {
+        return selected;
+      }
+      const {after} = selected;
+      const now = timer.now();
+      const kind = statementKindOf(request);
+      const user = request.account;
+      const position = after;
+      const link = selectReadTarget({
+        group,
+        kind,
+        user,
+        position,
+        triedAt,
+        now,
+      });
+      return link && {link, after};
+    },
+    canSelectNow(group, request) {
+      const primary = usablePrimary(group);
+      const links = request.needsPrimary ? [primary] : group.links();
+      if (cannotConnect(links, request)) {
+        return false;
+      }
+      const proofAge = timer.now() - group.positions.coveredAt();
+      return request.isWrite || proofAge < MAXIMUM_PROOF_AGE_MS;
+    },
+  };
+}
--- a/packages/gateway/src/transaction_end.ts
+++ b/packages/gateway/src/transaction_failure.ts
@@ -1,7 +1,4 @@
-/**
- * What callers are told when a transaction fails, and in which state their session is
- * then. Without input and output.
- */
+/** Pure functions for answers and session states after a failed transaction. */
 import {
   type SessionStatement,
   type StatementAnswer,
@@ -14,57 +11,63 @@
 /** Why a statement of a transaction failed. */
 export type FailureReason = StatementErrorName | 'answer lost';
 
-/** A session's state, and the answer that leads to it. */
-export interface SessionStep {
+/** A session's next state and the answer that reports it. */
+export interface SessionTransition {
   readonly state: TransactionState;
   readonly answer: StatementAnswer;
 }
 
-/** After a statement that would have ended it a session is outside transactions. */
+/**
+ * A failed commit or rollback still ends the transaction; any other failed
+ * statement leaves the session in the failed state.
+ */
 export function stateAfterFailure({kind}: SessionStatement): TransactionState {
   return kind === 'commit' || kind === 'rollback' ? 'idle' : 'failed';
 }
 
-function stepTo(
+function transitionTo(
   state: TransactionState,
   answer: (state: TransactionState) => StatementAnswer,
-): SessionStep {
+): SessionTransition {
   return {state, answer: answer(state)};
 }
 
 /**
- * A transaction that failed before its commit was sent is rolled back by closing its
- * connection. A commit that wrote may have taken effect.
+ * A transaction that fails before its commit is sent is rolled back by closing
+ * its connection. A failed commit of writes may have taken effect, unless the
+ * target has refused it.
  */
 export function failTransaction(
   statement: SessionStatement,
   reason: FailureReason,
   hasWritten: boolean,
-): SessionStep {
+): SessionTransition {
   const state = stateAfterFailure(statement);
   if (statement.kind === 'rollback') {
-    return stepTo(state, localAnswer);
+    return transitionTo(state, localAnswer);
   }
   const isInDoubt =
     statement.kind === 'commit' &&
     hasWritten &&
     reason !== 'readOnly' &&
     reason !== 'busy';
-  return stepTo(state, next =>
+  return transitionTo(state, next =>
     isInDoubt
       ? errorAnswer('inDoubt', next)
       : errorAnswer('aborted', next, `rolled back: ${reason}`),
   );
 }
 
-/** Answers a statement inside a transaction that has failed before. */
-export function answerInFailed(statement: SessionStatement): SessionStep {
+/** Answers a statement inside a transaction that has already failed. */
+export function answerInFailedTransaction(
+  statement: SessionStatement,
+): SessionTransition {
   switch (statement.kind) {
     case 'rollback':
-      return stepTo('idle', localAnswer);
+      return transitionTo('idle', localAnswer);
     case 'commit':
-      return stepTo('idle', state => errorAnswer('aborted', state));
+      return transitionTo('idle', state => errorAnswer('aborted', state));
     default:
-      return stepTo('failed', state => errorAnswer('malformed', state));
+      return transitionTo('failed', state => errorAnswer('malformed', state));
   }
 }
