--- a/packages/targets/__tests__/group_positions.spec.ts
+++ b/packages/targets/__tests__/group_positions.spec.ts
@@ -18,7 +18,7 @@
   return {role, term, received, termHeld: 0};
 }
 
-function createLed(synchronousReplicas = 1) {
+function createPositionsWithLeader(synchronousReplicas = 1) {
   const positions = createGroupPositions();
   positions.setTargets(TARGETS, synchronousReplicas);
   positions.noteStatus('a', 1, status('primary', 1));
@@ -26,8 +26,8 @@
 }
 
 describe('a position', () => {
-  test('covers all commits before the earliest question to any target', () => {
-    const positions = createLed();
+  test('covers all commits before the earliest probe of any target', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('b', 90, at(1, 3));
     positions.notePosition('c', 80, at(1, 4));
     positions.notePosition('a', 100, at(1, 5));
@@ -36,63 +36,63 @@
     expect(positions.lowestCovering(81)).toEqual(undefined);
   });
 
-  test('is proved by nothing while one target has not answered', () => {
-    const positions = createLed();
+  test('is not proved while one target has not answered', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('a', 100, at(1, 5));
     positions.notePosition('b', 100, at(1, 5));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
-  test('is proved with one silent target by what the others received', () => {
-    const positions = createLed();
+  test('is proved with one unresponsive target by the received logs of the others', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('a', 100, at(1, 5));
     positions.noteStatus('a', 95, status('primary', 1, at(1, 5)));
     positions.noteStatus('b', 90, status('replica', 1, at(1, 5)));
     expect(positions.coveredAt()).toEqual(90);
   });
 
-  test('needs every answer where commits need no receiver', () => {
-    const positions = createLed(0);
+  test('needs an answer of every target if commits need no replica', () => {
+    const positions = createPositionsWithLeader(0);
     positions.notePosition('a', 100, at(1, 5));
     positions.noteStatus('a', 95, status('primary', 1, at(1, 5)));
     positions.noteStatus('b', 90, status('replica', 1, at(1, 5)));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
-  test('of a replaced primary proves nothing once a later term shows', () => {
-    const positions = createLed();
+  test('of a replaced primary is not proved once a target applied a later term', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('a', 100, at(1, 5));
     positions.notePosition('b', 100, at(2, 6));
     positions.notePosition('c', 100, at(1, 5));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
-  test('of a replaced primary proves nothing once a replica received a later term', () => {
-    const positions = createLed();
+  test('of a replaced primary is not proved once a replica received a later term', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('a', 100, at(1, 5));
     positions.noteStatus('a', 100, status('primary', 1, at(1, 5)));
     positions.noteStatus('b', 100, status('replica', 2, at(2, 6)));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
-  test('of a leader that lost its log is not relied on', () => {
-    const positions = createLed();
+  test('that is lower than before clears the leader, which has lost its log', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('a', 100, at(1, 5));
     positions.notePosition('a', 110, at(0, 0));
     expect(positions.leader()).toEqual(undefined);
   });
 
-  test('is forgotten after time that passed unnoticed', () => {
-    const positions = createLed();
+  test('is discarded after a process suspension', () => {
+    const positions = createPositionsWithLeader();
     for (const target of TARGETS) {
       positions.notePosition(target, 100, at(1, 5));
     }
-    positions.forgetAll();
+    positions.discardAll();
     expect(positions.lowestCovering(0)).toEqual(undefined);
   });
 
-  test('as old as may be is taken, which more replicas hold', () => {
-    const positions = createLed();
+  test('is the lowest one that covers the time, because more replicas hold it', () => {
+    const positions = createPositionsWithLeader();
     for (const [time, end] of [
       [100, 5],
       [200, 9],
@@ -105,8 +105,8 @@
     expect(positions.lowestCovering(150)).toEqual(at(1, 9));
   });
 
-  test('is not replaced by an answer to an earlier question', () => {
-    const positions = createLed();
+  test('is not replaced by an answer to an earlier probe', () => {
+    const positions = createPositionsWithLeader();
     positions.notePosition('b', 100, at(1, 5));
     positions.notePosition('b', 90, at(1, 2));
     expect(positions.logOf('b')).toEqual({askedAt: 100, position: at(1, 5)});
@@ -114,15 +114,15 @@
 });
 
 describe('a leader', () => {
-  test('is who leads the highest term', () => {
-    const positions = createLed();
+  test('is the primary of the highest term', () => {
+    const positions = createPositionsWithLeader();
     positions.noteStatus('b', 5, status('primary', 2));
     positions.noteStatus('a', 6, status('primary', 1));
     expect(positions.leader()).toEqual({target: 'b', term: 2});
   });
 
-  test('is dismissed when it says that it follows', () => {
-    const positions = createLed();
+  test('is cleared when it reports the replica role', () => {
+    const positions = createPositionsWithLeader();
     positions.noteStatus('a', 5, status('replica', 2));
     expect(positions.leader()).toEqual(undefined);
   });
--- a/packages/targets/__tests__/target_questions.spec.ts
+++ b/packages/targets/__tests__/target_commands.spec.ts
@@ -15,13 +15,13 @@
 import {describe, test} from 'node:test';
 import {Err, Ok} from 'ts-results';
 
-import {createQuestionConnection} from '../src/question_connection';
-import {createTargetQuestions} from '../src/target_questions';
+import {createControlConnection} from '../src/control_connection';
+import {createTargetCommands} from '../src/target_commands';
 
 const TIMEOUT: Milliseconds = 400;
 
-/** A target that takes everything and answers nothing. */
-function startSilentTarget() {
+/** A target that accepts connections and requests, but never answers. */
+function startUnresponsiveTarget() {
   const timer = createVirtualTimer();
   const runtime = createRuntime({timer, random: createRandom(1)});
   const sent: Array<{at: Milliseconds; kind: string}> = [];
@@ -48,9 +48,9 @@
     );
   };
 
-  const questions = createTargetQuestions({
+  const commands = createTargetCommands({
     runtime,
-    connection: createQuestionConnection({
+    connection: createControlConnection({
       timer,
       target: {target: 't', group: 'g', address: 'a'},
       open,
@@ -58,28 +58,28 @@
     }),
     onAnswers: () => {},
     onRoundTrip: () => {},
-    onSilence: () => {},
+    onUnresponsive: () => {},
   });
 
   function resume(sendUntil?: Milliseconds): void {
-    questions
-      .ask({kind: 'resume'}, TIMEOUT, sendUntil)
+    commands
+      .execute({kind: 'resume'}, TIMEOUT, sendUntil)
       .onSettled(reply => outcomes.push(reply.ok ? 'answered' : reply.val));
   }
 
   return {timer, sent, outcomes, resume};
 }
 
-describe('questions to a target that is silent', () => {
-  test('are asked again on a fresh connection', () => {
-    const {timer, sent, resume} = startSilentTarget();
+describe('commands to an unresponsive target', () => {
+  test('are retried on a new connection', () => {
+    const {timer, sent, resume} = startUnresponsiveTarget();
     resume();
     timer.advance(3 * TIMEOUT);
     expect(sent.map(({at}) => at)).toEqual([0, TIMEOUT]);
   });
 
-  test('are not sent after the time until which they may be', () => {
-    const {timer, sent, outcomes, resume} = startSilentTarget();
+  test('are not sent after their send limit', () => {
+    const {timer, sent, outcomes, resume} = startUnresponsiveTarget();
     resume(TIMEOUT / 2);
     timer.advance(3 * TIMEOUT);
     expect(sent.map(({at}) => at)).toEqual([0]);
--- a/packages/targets/index.ts
+++ b/packages/targets/index.ts
@@ -1,10 +1,10 @@
-/** Targets of statement sessions: connections, admission, log positions. */
+/** Targets of statement sessions: connections, admission and log positions. */
 export * from './src/change_signal';
 export * from './src/connection_shares';
 export * from './src/group_positions';
 export * from './src/registration';
 export * from './src/shared_connections';
-export * from './src/statement_work';
+export * from './src/statement_request';
 export * from './src/target_group';
 export * from './src/target_link';
-export * from './src/target_questions';
+export * from './src/target_commands';
--- a/packages/targets/src/change_signal.ts
+++ b/packages/targets/src/change_signal.ts
@@ -1,22 +1,23 @@
-/** Tells tasks that something they look at has changed. */
+/** Wakes waiting tasks when the state that they wait for has changed. */
 import {type Future, createDeferred} from '@kelpstep/runtime';
 
-/** A signal that may be given any number of times. */
+/** A signal that can be given any number of times. */
 export interface ChangeSignal {
   /** Settles at the next change. */
   next(): Future<undefined>;
+  /** Wakes all tasks that wait for the next change. */
   give(): void;
 }
 
-/** Creates a signal. */
+/** Creates a signal without waiting tasks. */
 export function createChangeSignal(): ChangeSignal {
   let current = createDeferred<undefined>();
   return {
     next: () => current.future,
     give() {
-      const given = current;
+      const previous = current;
       current = createDeferred<undefined>();
-      given.settle(undefined);
+      previous.settle(undefined);
     },
   };
 }
--- a/packages/targets/src/connection_shares.ts
+++ b/packages/targets/src/connection_shares.ts
@@ -1,32 +1,36 @@
 /**
- * How proxies share a target's connections. Where there are more proxies than a
- * target has connections for, some hold them and the others send through those.
+ * Distribution of a target's connections over proxies. If there are more proxies
+ * than the target has connections for, some are connection owners and forward the
+ * statements of the others.
  */
 
 /**
- * Part of a target's connections that proxies share for good. A target holds
- * those of instances that lost power for seconds: the rest lets the instances
- * that start in their place reach it.
+ * Part of a target's connection limit that is distributed over proxies. A target
+ * keeps the connections of instances that lost power for some seconds; the rest
+ * of the limit lets the instances that replace them connect.
  */
-const CONNECTION_USE = 0.64;
+const USABLE_CONNECTION_RATIO = 0.64;
 /**
- * One connection for questions, two for statements. Fewer holders with more
- * connections each need fewer of them for questions: a target has room for the
- * proxies that start anew while it holds those of the dead.
+ * One control connection and two connections for statements. Fewer owners with
+ * more connections each need fewer control connections. This leaves room for
+ * starting proxies while the target still keeps connections of failed ones.
  */
-const MINIMUM_SHARE = 3;
+const MINIMUM_CONNECTION_COUNT = 3;
 
-/** Proxies that may hold connections to a target with this limit. */
+/** Maximum number of connection owners for a target with this limit. */
 export function mostHolders(connectionLimit: number): number {
-  const usable = connectionLimit * CONNECTION_USE;
-  return Math.max(1, Math.floor(usable / MINIMUM_SHARE));
+  const usable = connectionLimit * USABLE_CONNECTION_RATIO;
+  return Math.max(1, Math.floor(usable / MINIMUM_CONNECTION_COUNT));
 }
 
-/** Connections of one holder among so many; `Infinity` if that isn't known. */
-export function shareOfHolder(
+/**
+ * Number of connections that each of `owners` may hold to a target; `owners` is
+ * `Infinity` while it is unknown.
+ */
+export function connectionsPerOwner(
   connectionLimit: number,
-  holders: number,
+  owners: number,
 ): number {
-  const usable = connectionLimit * CONNECTION_USE;
-  return Math.max(MINIMUM_SHARE, Math.floor(usable / holders));
+  const usable = connectionLimit * USABLE_CONNECTION_RATIO;
+  return Math.max(MINIMUM_CONNECTION_COUNT, Math.floor(usable / owners));
 }
--- a/packages/targets/src/group_positions.ts
+++ b/packages/targets/src/group_positions.ts
@@ -1,14 +1,15 @@
 /**
- * Proves how fresh a log position is. A sample (position, coveredAt) says that
- * the position covers every commit that was acknowledged before `coveredAt`.
+ * Proves how fresh a log position is. A sample (position, coveredAt) states that
+ * the position covers every commit acknowledged before `coveredAt`.
  *
- * Proof: the target that led term t was asked at or after `coveredAt` and its
- * log ended at the position, so it covers the commits of terms up to t. A commit
- * of a later term needs a primary of that term and, with synchronous replicas, a
- * receiver. Every other target was asked at or after `coveredAt` too, and none
- * showed a later term. One target may be silent if commits need a receiver: the
- * receiver then is among those that answered. Those are asked for what they
- * received, not only for what they applied.
+ * Proof: the primary of term t was probed at or after `coveredAt` and its log
+ * ended at the position, which therefore covers the commits of all terms up to t.
+ * A commit of a later term needs a primary of that term and, with synchronous
+ * replicas, a replica that received it. All other targets were probed at or after
+ * `coveredAt` as well, and none showed a later term. If commits need such a
+ * replica, one target may be unresponsive: the later primary or its replica is
+ * then among the targets that answered. In this case the targets are probed for
+ * the log that they received, not only for the log that they applied.
  */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import type {TargetStatus} from '@kelpstep/statements';
@@ -21,19 +22,19 @@
   readonly coveredAt: Milliseconds;
 }
 
-/** What is known of a target's log. */
+/** Last known end of a target's log. */
 export interface TargetLog {
-  /** When the question was sent that `position` answers. */
+  /** Monotonic time when the request answered with `position` was sent. */
   readonly askedAt: Milliseconds;
   readonly position: LogPosition;
 }
 
-interface StatusReport {
+interface KnownStatus {
   readonly askedAt: Milliseconds;
   readonly status: TargetStatus;
 }
 
-/** Who said of itself that it leads, in which term. */
+/** A target that reported the primary role, and its term. */
 export interface Leadership {
   readonly target: string;
   readonly term: number;
@@ -41,78 +42,87 @@
 
 /** Log positions of a group's targets. */
 export interface GroupPositions {
-  /** Sets which targets count, and how many receivers a commit needs. */
+  /** Sets the group's targets and how many replicas must receive a commit. */
   setTargets(targets: readonly string[], synchronousReplicas: number): void;
   notePosition(
     target: string,
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     position: LogPosition,
   ): void;
-  noteStatus(target: string, askedAt: Milliseconds, status: TargetStatus): void;
-  /** A target started anew: nothing that is known of it holds. */
-  forget(target: string): void;
-  /** Time may have passed unnoticed: drops all samples and reports. */
-  forgetAll(): void;
+  noteStatus(
+    target: string,
+    requestedAt: Milliseconds,
+    status: TargetStatus,
+  ): void;
+  /** Discards the state of a target that was removed or restarted. */
+  discard(target: string): void;
+  /** Discards all positions, statuses and samples after a process suspension. */
+  discardAll(): void;
   logOf(target: string): TargetLog | undefined;
-  /** The target said that it doesn't lead. */
+  /** Clears the leader if it is this target, which reported another role. */
   dismissLeader(target: string): void;
-  /** The newest leadership that is known; it may have ended. */
+  /** The newest known leadership; it may have ended. */
   leader(): Leadership | undefined;
-  /** Until when the newest sample covers all; -Infinity without one. */
+  /** `coveredAt` of the newest sample; `-Infinity` without one. */
   coveredAt(): Milliseconds;
-  /** The lowest kept position that covers all commits before a time. */
+  /** The lowest retained position that covers all commits before a time. */
   lowestCovering(time: Milliseconds): LogPosition | undefined;
 }
 
-/** How long samples are kept; routes ask for at most a few seconds. */
-const KEPT_FOR: Milliseconds = 4000;
-/** Samples closer than this replace each other, to keep the list short. */
-const SAMPLE_SPACING: Milliseconds = 50;
+/** Retention of samples. Staleness bounds of routes are a few seconds at most. */
+const SAMPLE_RETENTION_MS: Milliseconds = 4000;
+/** Minimum distance of retained samples, which bounds their number. */
+const SAMPLE_INTERVAL_MS: Milliseconds = 50;
 
-/** Creates positions of a group without targets. */
+/** Creates the positions of a group without targets. */
 export function createGroupPositions(): GroupPositions {
   const logs = new Map<string, TargetLog>();
-  const reports = new Map<string, StatusReport>();
+  const statuses = new Map<string, KnownStatus>();
   let targets: readonly string[] = [];
   let synchronousReplicas = 0;
   let leadership: Leadership | undefined;
   let samples: PositionSample[] = [];
 
-  /** When a target last showed that it applied nothing above a term. */
-  function appliedClearAt(target: string, term: number): Milliseconds {
+  /** When a target was last known to have applied nothing above a term. */
+  function noLaterTermAppliedAt(target: string, term: number): Milliseconds {
     const log = logs.get(target);
-    const isClear = log !== undefined && log.position.term <= term;
-    return isClear ? log.askedAt : -Infinity;
+    const hasNoLaterTerm = log !== undefined && log.position.term <= term;
+    return hasNoLaterTerm ? log.askedAt : -Infinity;
   }
 
-  /** The same for what it received. */
-  function receivedClearAt(target: string, term: number): Milliseconds {
-    const report = reports.get(target);
-    const isClear =
-      report !== undefined &&
-      report.status.received.term <= term &&
-      report.status.term <= term;
-    return isClear ? report.askedAt : -Infinity;
+  /** When a target was last known to have received nothing above a term. */
+  function noLaterTermReceivedAt(target: string, term: number): Milliseconds {
+    const known = statuses.get(target);
+    const hasNoLaterTerm =
+      known !== undefined &&
+      known.status.received.term <= term &&
+      known.status.term <= term;
+    return hasNoLaterTerm ? known.askedAt : -Infinity;
   }
 
-  function coverageByAll(leader: Leadership): Milliseconds {
-    const times = targets.map(target => appliedClearAt(target, leader.term));
+  function coverageByAllTargets(leader: Leadership): Milliseconds {
+    const times = targets.map(target =>
+      noLaterTermAppliedAt(target, leader.term),
+    );
     return Math.min(...times);
   }
 
-  function coverageWithOneSilent(leader: Leadership): Milliseconds {
+  function coverageWithOneUnresponsive(leader: Leadership): Milliseconds {
     const others = targets.filter(target => target !== leader.target);
     if (synchronousReplicas < 1 || others.length < 2) {
       return -Infinity;
     }
     const times = others
-      .map(target => receivedClearAt(target, leader.term))
+      .map(target => noLaterTermReceivedAt(target, leader.term))
       .sort((left, right) => left - right);
     const allButOne = times[1] ?? -Infinity;
-    return Math.min(receivedClearAt(leader.target, leader.term), allButOne);
+    return Math.min(
+      noLaterTermReceivedAt(leader.target, leader.term),
+      allButOne,
+    );
   }
 
-  function newest(): PositionSample | undefined {
+  function newestSample(): PositionSample | undefined {
     const log = leadership && logs.get(leadership.target);
     if (leadership === undefined || log === undefined) {
       return undefined;
@@ -120,34 +130,34 @@
     if (log.position.term > leadership.term) {
       return undefined;
     }
-    const proved = Math.max(
-      coverageByAll(leadership),
-      coverageWithOneSilent(leadership),
+    const coverage = Math.max(
+      coverageByAllTargets(leadership),
+      coverageWithOneUnresponsive(leadership),
     );
-    const coveredAt = Math.min(log.askedAt, proved);
+    const coveredAt = Math.min(log.askedAt, coverage);
     return coveredAt === -Infinity
       ? undefined
       : {position: log.position, coveredAt};
   }
 
-  function keepSample(): void {
-    const sample = newest();
+  function storeSample(): void {
+    const sample = newestSample();
     const last = samples[samples.length - 1];
     if (sample === undefined) {
       return;
     }
     if (
       last !== undefined &&
-      sample.coveredAt - last.coveredAt < SAMPLE_SPACING
+      sample.coveredAt - last.coveredAt < SAMPLE_INTERVAL_MS
     ) {
       return;
     }
-    const oldest = sample.coveredAt - KEPT_FOR;
+    const oldest = sample.coveredAt - SAMPLE_RETENTION_MS;
     samples = samples.filter(({coveredAt}) => coveredAt > oldest);
     samples.push(sample);
   }
 
-  /** A leader whose log ends earlier than before came back without it. */
+  /** True for a leader whose log ends earlier than before: it was lost. */
   function hasLostLog(target: string, position: LogPosition): boolean {
     const known = logs.get(target);
     return (
@@ -159,18 +169,18 @@
 
   function notePosition(
     target: string,
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     position: LogPosition,
   ): void {
     const known = logs.get(target);
-    if (known !== undefined && known.askedAt > askedAt) {
+    if (known !== undefined && known.askedAt > requestedAt) {
       return;
     }
     if (hasLostLog(target, position)) {
       leadership = undefined;
     }
-    logs.set(target, {askedAt, position});
-    keepSample();
+    logs.set(target, {askedAt: requestedAt, position});
+    storeSample();
   }
 
   function noteRole(target: string, {role, term}: TargetStatus): void {
@@ -190,21 +200,21 @@
 
   function noteStatus(
     target: string,
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     status: TargetStatus,
   ): void {
-    const known = reports.get(target);
-    if (known !== undefined && known.askedAt > askedAt) {
+    const known = statuses.get(target);
+    if (known !== undefined && known.askedAt > requestedAt) {
       return;
     }
-    reports.set(target, {askedAt, status});
+    statuses.set(target, {askedAt: requestedAt, status});
     noteRole(target, status);
-    keepSample();
+    storeSample();
   }
 
   function lowestCovering(time: Milliseconds): LogPosition | undefined {
     const covering = samples.filter(({coveredAt}) => coveredAt >= time);
-    const latest = newest();
+    const latest = newestSample();
     if (latest !== undefined && latest.coveredAt >= time) {
       covering.push(latest);
     }
@@ -212,26 +222,26 @@
   }
 
   return {
-    setTargets(wanted, receivers) {
-      targets = wanted;
-      synchronousReplicas = receivers;
+    setTargets(countedTargets, replicas) {
+      targets = countedTargets;
+      synchronousReplicas = replicas;
     },
     notePosition,
     noteStatus,
-    forget(target) {
+    discard(target) {
       logs.delete(target);
-      reports.delete(target);
+      statuses.delete(target);
       dismissLeader(target);
     },
-    forgetAll() {
+    discardAll() {
       logs.clear();
-      reports.clear();
+      statuses.clear();
       samples = [];
     },
     logOf: target => logs.get(target),
     dismissLeader,
     leader: () => leadership,
-    coveredAt: () => newest()?.coveredAt ?? -Infinity,
+    coveredAt: () => newestSample()?.coveredAt ?? -Infinity,
     lowestCovering,
   };
 }
--- a/packages/targets/src/pinned_connection.ts
+++ b/packages/targets/src/pinned_connection.ts
@@ -1,4 +1,4 @@
-/** A connection that a transaction keeps from its start to its end. */
+/** A connection that is pinned by a transaction from its start to its end. */
 import {
   type Deferred,
   type Milliseconds,
@@ -16,10 +16,10 @@
 
 import type {SharedConnection} from './shared_connections';
 import {exchangeStatement} from './statement_exchange';
-import type {PinnedConnection, StatementWork} from './statement_work';
+import type {PinnedConnection, StatementWork} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
-/** What a pinned connection is made of. */
+/** Options of a pinned connection. */
 export interface PinnedConnectionOptions {
   readonly runtime: Runtime;
   readonly target: string;
@@ -27,13 +27,16 @@
   readonly shared: SharedConnection;
   readonly settings: SessionSettings;
   readonly writes: WriteProgress;
-  onAnswers(askedAt: Milliseconds, answers: readonly StatementAnswer[]): void;
-  giveBack(shared: SharedConnection): void;
+  onAnswers(
+    requestedAt: Milliseconds,
+    answers: readonly StatementAnswer[],
+  ): void;
+  release(shared: SharedConnection): void;
 }
 
 type Reply = Result<StatementAnswer, ConnectionLoss>;
 
-/** Keeps a connection for a transaction. */
+/** Pins a connection to a transaction. */
 export function pinConnection(
   options: PinnedConnectionOptions,
 ): PinnedConnection {
@@ -41,7 +44,7 @@
   let state: TransactionState = 'open';
 
   function* exchange(
-    work: Pick<StatementWork, 'settings' | 'shape' | 'request'>,
+    statement: Pick<StatementWork, 'settings' | 'shape' | 'request'>,
     timeout: Milliseconds,
     result: Deferred<Reply>,
   ): Task<void> {
@@ -49,7 +52,7 @@
     const reply = yield* exchangeStatement({
       timer,
       shared,
-      work,
+      statement,
       timeout,
       isInTransaction: true,
       writes: options.writes,
@@ -63,15 +66,15 @@
     target,
     send(request, shape, timeout) {
       const result = createDeferred<Reply>();
-      const work = {settings, shape, request};
-      runtime.spawn('pinned', exchange(work, timeout, result));
+      const statement = {settings, shape, request};
+      runtime.spawn('pinned', exchange(statement, timeout, result));
       return result.future;
     },
     end() {
       if (state !== 'idle') {
         shared.connection.close();
       }
-      options.giveBack(shared);
+      options.release(shared);
     },
   };
 }
--- a/packages/targets/src/registration.ts
+++ b/packages/targets/src/registration.ts
@@ -1,27 +1,30 @@
-/** What a target says of itself in the platform's list. */
+/** Registrations of targets with the platform. */
 
-/** One target's entry. */
+/** Registration of one target. */
 export interface TargetRegistration {
   readonly target: string;
   readonly group: string;
   /** `ip:port`. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Statements that it runs at a time. */
+  /** Number of statements that it runs concurrently. */
   readonly slots: number;
-  /** True if it takes no new work and goes away soon. */
+  /** True if it accepts no new statements and is about to be removed. */
   readonly isLeaving: boolean;
-  /** How it sees itself; it may not know that it was deposed. */
+  /** Role reported by the target, which may not know yet of its demotion. */
   readonly role: 'primary' | 'replica';
-  /** Wall-clock start in milliseconds; 0 if unknown. A new start is empty. */
+  /**
+   * Wall-clock start time in milliseconds; 0 if unknown. A restarted target has
+   * lost its data.
+   */
   readonly startedAt: number;
 }
 
-/** Settings of a group that its targets share. */
+/** Settings that apply to all targets of a group. */
 export interface GroupSettings {
   readonly group: string;
-  /** Connections that a target accepts from all callers together. */
+  /** Maximum number of connections that a target accepts from all proxies. */
   readonly connectionLimit: number;
-  /** Replicas that hold a commit before it is acknowledged. */
+  /** Number of replicas that must receive a commit before it is acknowledged. */
   readonly synchronousReplicas: number;
 }
--- a/packages/targets/src/shared_connections.ts
+++ b/packages/targets/src/shared_connections.ts
@@ -1,6 +1,6 @@
 /**
- * The connections to one target that sessions share. Each was opened for one user
- * and serves its sessions alone.
+ * Pool of the connections to one target that sessions share. A connection is
+ * opened for one user and serves only sessions of this user.
  */
 import {
   type ConnectionUser,
@@ -21,66 +21,67 @@
 } from '@kelpstep/runtime';
 import {Ok, type Result} from 'ts-results';
 
-/** A connection with what is applied to it. */
+/** A connection with the settings applied to it. */
 export interface SharedConnection {
   readonly user: ConnectionUser;
   readonly connection: TargetConnection;
   readonly applied: SessionSettings;
 }
 
-/** What the connections of a target are made of. */
+/** Options of the connections to a target. */
 export interface SharedConnectionsOptions {
   readonly timer: TimerService;
   readonly target: TargetAddress;
   readonly open: OpenTargetConnection;
-  /** Connections that this proxy may hold at the target at most. */
+  /** Number of connections that this proxy may hold to the target. */
   share(): number;
-  /** A connection became idle or ended: something that waits may go on. */
-  onRoom(): void;
-  /** `askedAt` is when opening began. */
-  onOpened(askedAt: Milliseconds, opened: OpenedConnection): void;
+  /** Called when a connection became idle or was closed. */
+  onAvailable(): void;
+  /** `requestedAt`: when opening began. */
+  onOpened(requestedAt: Milliseconds, opened: OpenedConnection): void;
 }
 
 /** The connections to one target. */
 export interface SharedConnections {
-  /** Takes the user's idle connection that differs least from the settings. */
+  /** Takes the user's idle connection whose settings differ least. */
   take(
     user: ConnectionUser,
     settings: SessionSettings,
   ): SharedConnection | undefined;
   hasIdle(): boolean;
   mayOpen(): boolean;
-  /** True while there is none, and the target takes no other. */
+  /** True while none is open and the target's limit prevents a new one. */
   isShutOut(): boolean;
-  /** Closes the idle connection that was used least recently; false without one. */
-  makeRoom(): boolean;
-  /** Opens one, taken by who asked. */
+  /** Closes the least recently used idle connection; false without one. */
+  evictIdle(): boolean;
+  /** Opens a connection, which counts as taken. */
   open(user: ConnectionUser): Future<Result<SharedConnection, OpenFailure>>;
-  /** Gives one back; one that is closed is forgotten. */
-  giveBack(shared: SharedConnection): void;
+  /** Returns a taken connection; a closed one is dropped. */
+  release(shared: SharedConnection): void;
+  /** Number of connections that are open or being opened. */
   count(): number;
-  /** Closes a connection beyond the share that nobody uses. */
+  /** Closes a connection beyond the share that has been idle too long. */
   trim(): void;
   closeAll(): void;
 }
 
 /**
- * Time for a connection to open. Set-up costs some tens of milliseconds at a
- * target (brief) and a round trip; beyond this the target counts as away.
+ * Opening takes a round trip, and connection set-up takes tens of milliseconds on
+ * the target. The target is considered unresponsive after this time.
  */
-const OPEN_TIMEOUT: Milliseconds = 500;
+const OPEN_TIMEOUT_MS: Milliseconds = 500;
 
 /**
- * Connections beyond the share that are opened while the target takes them:
- * proxies seldom need their shares at the same time.
+ * Connections opened beyond the share while the target accepts them: proxies
+ * seldom need their full shares at the same time.
  */
-const BURST = 1;
-/** Pause beyond the share after the target was at its limit. */
-const LIMIT_PAUSE: Milliseconds = 500;
-/** A connection beyond the share is closed when it was idle for so long. */
-const IDLE_TIME: Milliseconds = 300;
+const EXTRA_CONNECTION_COUNT = 1;
+/** Backoff of connections beyond the share after the target was at its limit. */
+const LIMIT_BACKOFF_MS: Milliseconds = 500;
+/** Idle time after which connections beyond the share are closed. */
+const IDLE_TIMEOUT_MS: Milliseconds = 300;
 
-/** Creates the connections of a target, none open. */
+/** Creates an empty pool. */
 export function createSharedConnections(
   options: SharedConnectionsOptions,
 ): SharedConnections {
@@ -92,7 +93,7 @@
 
   function add(
     user: ConnectionUser,
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     opened: OpenedConnection,
   ): SharedConnection {
     const {connection} = opened;
@@ -101,9 +102,9 @@
     connection.onClosed(() => {
       all.delete(shared);
       idle = idle.filter(other => other !== shared);
-      options.onRoom();
+      options.onAvailable();
     });
-    options.onOpened(askedAt, opened);
+    options.onOpened(requestedAt, opened);
     return shared;
   }
 
@@ -111,38 +112,38 @@
     user: ConnectionUser,
   ): Future<Result<SharedConnection, OpenFailure>> {
     opening += 1;
-    const askedAt = options.timer.now();
-    const opened = options.open(options.target, user, OPEN_TIMEOUT);
+    const requestedAt = options.timer.now();
+    const opened = options.open(options.target, user, OPEN_TIMEOUT_MS);
     return mapFuture(opened, result => {
       opening -= 1;
       if (result.err) {
         noteFailure(result.val);
         return result;
       }
-      return Ok(add(user, askedAt, result.val));
+      return Ok(add(user, requestedAt, result.val));
     });
   }
 
   function noteFailure(failure: OpenFailure): void {
     if (failure === 'tooManyConnections') {
-      atLimitUntil = options.timer.now() + LIMIT_PAUSE;
+      atLimitUntil = options.timer.now() + LIMIT_BACKOFF_MS;
     }
   }
 
   function mayOpen(): boolean {
     const count = all.size + opening;
     const share = options.share();
-    const mayBurst = options.timer.now() >= atLimitUntil;
-    return count < (mayBurst ? share + BURST : share);
+    const mayExceedShare = options.timer.now() >= atLimitUntil;
+    return count < (mayExceedShare ? share + EXTRA_CONNECTION_COUNT : share);
   }
 
-  /** The idle time counts from the last moment without any idle one. */
+  /** Idle time is counted from the last call without an idle connection. */
   function trim(): void {
     const now = options.timer.now();
-    const isOver = all.size > options.share();
-    if (idle.length === 0 || !isOver) {
+    const exceedsShare = all.size > options.share();
+    if (idle.length === 0 || !exceedsShare) {
       idleSince = now;
-    } else if (now - idleSince >= IDLE_TIME) {
+    } else if (now - idleSince >= IDLE_TIMEOUT_MS) {
       idle[0]?.connection.close();
     }
   }
@@ -172,17 +173,17 @@
     hasIdle: () => idle.length > 0,
     mayOpen,
     isShutOut: () => all.size === 0 && options.timer.now() < atLimitUntil,
-    makeRoom() {
+    evictIdle() {
       const [unused] = idle;
       unused?.connection.close();
       return unused !== undefined;
     },
     open,
-    giveBack(shared) {
+    release(shared) {
       if (shared.connection.isOpen()) {
         idle.push(shared);
       }
-      options.onRoom();
+      options.onAvailable();
     },
     count: () => all.size + opening,
     trim,
--- a/packages/targets/src/statement_exchange.ts
+++ b/packages/targets/src/statement_exchange.ts
@@ -1,4 +1,4 @@
-/** One statement on a shared connection, with the settings that it needs. */
+/** Sends one statement on a shared connection, with the settings it needs. */
 import {
   type Milliseconds,
   type Task,
@@ -14,59 +14,62 @@
 import {Err, Ok, type Result} from 'ts-results';
 
 import type {SharedConnection} from './shared_connections';
-import type {StatementWork} from './statement_work';
+import type {StatementWork} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
-/** What an exchange is told. */
+/** Options of an exchange. */
 export interface StatementExchange {
   readonly timer: TimerService;
   readonly shared: SharedConnection;
-  readonly work: Pick<StatementWork, 'settings' | 'shape' | 'request'>;
+  readonly statement: Pick<StatementWork, 'settings' | 'shape' | 'request'>;
   readonly timeout: Milliseconds;
   readonly isInTransaction: boolean;
   readonly writes: WriteProgress;
-  onAnswers(askedAt: Milliseconds, answers: readonly StatementAnswer[]): void;
+  onAnswers(
+    requestedAt: Milliseconds,
+    answers: readonly StatementAnswer[],
+  ): void;
 }
 
-/** True for what a primary answers only once a replica has received it. */
-function waitsForReceiver({
+/** True for statements that a primary answers after a replica received them. */
+function waitsForReplica({
   request,
   shape,
-}: StatementExchange['work']): boolean {
+}: StatementExchange['statement']): boolean {
   const {kind} = request.body;
   const isWrite = kind === 'write' || shape?.access === 'write';
   return isWrite || kind === 'commit';
 }
 
 /**
- * Applies the settings and sends, in one write. After a loss or a refused
- * setting the connection's state is unknown: it is closed.
+ * Applies the settings and sends the statement, in one write. The connection is
+ * closed if an answer is lost or a setting is refused: its state is then unknown.
  */
 export function* exchangeStatement(
   exchange: StatementExchange,
 ): Task<Result<StatementAnswer, ConnectionLoss>> {
-  const {timer, shared, work, isInTransaction} = exchange;
+  const {timer, shared, statement, isInTransaction} = exchange;
   const {applied, connection} = shared;
-  const {settings: session, shape, request} = work;
-  const before = planDifference({applied, session, shape, isInTransaction});
-  const askedAt = timer.now();
-  const sent = connection.send([...before, request], exchange.timeout);
-  // Noted at once: what follows on this connection comes after it.
-  noteApplied(applied, before);
-  const conclude = waitsForReceiver(exchange.work)
+  const {settings: session, shape, request} = statement;
+  const setup = planDifference({applied, session, shape, isInTransaction});
+  const requestedAt = timer.now();
+  const sent = connection.send([...setup, request], exchange.timeout);
+  // Recorded without waiting: later requests on this connection run after these.
+  noteApplied(applied, setup);
+  const endWrite = waitsForReplica(exchange.statement)
     ? exchange.writes.start()
     : undefined;
   const reply = yield* waitFor(sent);
-  conclude?.(reply.ok);
+  endWrite?.(reply.ok);
   if (reply.err) {
     connection.close();
     return reply;
   }
-  exchange.onAnswers(askedAt, reply.val);
+  exchange.onAnswers(requestedAt, reply.val);
   const isPrepared = reply.val
-    .slice(0, before.length)
+    .slice(0, setup.length)
     .every(({error}) => error === undefined);
-  const answer = reply.val[before.length];
+  const answer = reply.val[setup.length];
   if (!isPrepared || answer === undefined) {
     connection.close();
     return Err('closed');
--- a/packages/targets/src/statement_work.ts
+++ b/packages/targets/src/statement_request.ts
@@ -1,4 +1,4 @@
-/** Statements that are handed to a target's link, and what becomes of them. */
+/** Statements that a target's link runs, and their outcomes. */
 import type {Future, Milliseconds} from '@kelpstep/runtime';
 import type {
   ConnectionLoss,
@@ -13,48 +13,49 @@
 
 /** A statement outside a transaction, or the start of one. */
 export interface StatementWork {
-  /** Names statements that take about the same time. */
+  /** Name of a class of statements with similar service times. */
   readonly kind: string;
+  /** Relative value of an answer before the deadline. */
   readonly worth: number;
-  /** Monotonic time by which the answer must be there. */
+  /** Monotonic time by which the answer is needed. */
   readonly deadline: Milliseconds;
-  /** Who the connection must have been opened for. */
+  /** User that the connection must have been opened for. */
   readonly user: ConnectionUser;
   readonly settings: SessionSettings;
   readonly shape: PreparedShape | undefined;
   readonly request: TargetRequest;
-  /** True once nobody waits for the answer any more. */
+  /** True once the caller no longer waits for the answer. */
   isAbandoned(): boolean;
-  /** Called as it is sent to the target. */
+  /** Called when the statement is sent to the target. */
   onSent(): void;
 }
 
-/** What became of a statement. */
+/** Outcome of a statement. */
 export type StatementOutcome =
   | {readonly kind: 'answered'; readonly answer: StatementAnswer}
-  /** Refused here: nothing was sent. */
+  /** Refused by admission, nothing was sent; `retryAfter` in milliseconds. */
   | {readonly kind: 'refused'; readonly retryAfter: Milliseconds}
-  /** No connection could be had: nothing was sent. */
+  /** No connection was available: nothing was sent. */
   | {readonly kind: 'unreached'; readonly failure: OpenFailure}
-  /** Sent, and no answer came. */
+  /** Sent, but not answered. */
   | {readonly kind: 'lost'};
 
-/** A connection that a transaction keeps. */
+/** A connection that is pinned by a transaction. */
 export interface PinnedConnection {
   readonly target: string;
-  /** Sends a statement; the session's settings are applied before it. */
+  /** Applies the session's settings and sends a statement. */
   send(
     request: TargetRequest,
     shape: PreparedShape | undefined,
     timeout: Milliseconds,
   ): Future<Result<StatementAnswer, ConnectionLoss>>;
-  /** Gives the connection back; one inside a transaction is closed. */
+  /** Releases the connection; it is closed if a transaction is still open. */
   end(): void;
 }
 
-/** What became of the start of a transaction. */
+/** Outcome of starting a transaction. */
 export interface PinnedStart {
   readonly outcome: StatementOutcome;
-  /** There if the target has begun the transaction. */
+  /** Set if the target has begun the transaction. */
   readonly pinned: PinnedConnection | undefined;
 }
--- a/packages/targets/src/statement_runner.ts
+++ b/packages/targets/src/statement_runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs statements at one target: each waits for admission, takes a connection
- * with the settings it needs, and gives it back or keeps it for a transaction.
+ * Runs statements on one target. Each statement waits for admission, takes a
+ * connection, and afterwards releases it or pins it for a transaction.
  */
 import {
   type AdmissionEntry,
@@ -22,90 +22,95 @@
 import {Err, Ok, type Result} from 'ts-results';
 
 import {pinConnection} from './pinned_connection';
-import type {QuestionConnection} from './question_connection';
+import type {ControlConnection} from './control_connection';
 import type {SharedConnection, SharedConnections} from './shared_connections';
 import {exchangeStatement} from './statement_exchange';
 import type {
   PinnedStart,
   StatementOutcome,
   StatementWork,
-} from './statement_work';
+} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
-/** What a runner is made of. */
+/** Options of a runner. */
 export interface StatementRunnerOptions {
   readonly runtime: Runtime;
   readonly target: string;
   readonly slots: number;
   readonly policies: AdmissionPolicies;
   readonly connections: SharedConnections;
-  readonly questionConnection: QuestionConnection;
+  readonly controlConnection: ControlConnection;
   readonly writes: WriteProgress;
-  /** Connections for statements that this proxy may hold at the target. */
+  /** Number of statement connections that this proxy may hold to the target. */
   share(): number;
-  onAnswers(askedAt: Milliseconds, answers: readonly StatementAnswer[]): void;
-  /** No connection could be opened, and not for want of room. */
-  onSilence(reason: string): void;
+  onAnswers(
+    requestedAt: Milliseconds,
+    answers: readonly StatementAnswer[],
+  ): void;
+  /** Called when opening a connection failed, except at the connection limit. */
+  onUnresponsive(reason: string): void;
 }
 
-/** Runs statements at one target. */
+/** Runs statements on one target. */
 export interface StatementRunner {
-  run(work: StatementWork): Future<StatementOutcome>;
-  /** Starts a transaction; `work.request` begins it. */
-  pin(work: StatementWork): Future<PinnedStart>;
+  run(statement: StatementWork): Future<StatementOutcome>;
+  /** Starts a transaction; `statement.request` begins it. */
+  pin(statement: StatementWork): Future<PinnedStart>;
   /** Predicted time until a statement of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
-  /** Starts what may start now; call it when a connection became free. */
-  pump(): void;
-  /** Refuses what waits and takes nothing more. */
+  /** Starts queued statements; call it when a connection becomes available. */
+  dispatch(): void;
+  /** Refuses all queued statements and starts no more. */
   close(): void;
 }
 
-/** Statements that wait at a target at most. */
+/** Maximum number of statements queued for a target. */
 const QUEUE_CAPACITY = 500;
 
-/** Given to work that nobody waits for any more. */
+/** Refuses a statement whose caller no longer waits. */
 const ABANDONED = createFailure('OVERLOADED', {message: 'Nobody waits.'});
-/** Given to work that waits when the target goes. */
-const GONE = createFailure('OVERLOADED', {message: 'The target is gone.'});
+/** Refuses statements that are queued when the target is removed. */
+const TARGET_REMOVED = createFailure('OVERLOADED', {
+  message: 'The target is gone.',
+});
 
-interface Entry extends AdmissionEntry {
-  readonly work: StatementWork;
+interface QueuedStatement extends AdmissionEntry {
+  readonly statement: StatementWork;
   serve(run: AdmittedRun): Task<void>;
 }
 
-type Obtained = Result<SharedConnection, OpenFailure>;
+type AcquireResult = Result<SharedConnection, OpenFailure>;
 
-/** Creates a runner with nothing waiting. */
+/** Creates a runner with an empty queue. */
 export function createStatementRunner(
   options: StatementRunnerOptions,
 ): StatementRunner {
-  const {runtime, connections, questionConnection, writes, target} = options;
+  const {runtime, connections, controlConnection, writes, target} = options;
   const {timer} = runtime;
   let arrivals = 0;
   let isClosed = false;
-  const admission = createAdmission<Entry>({
+  const admission = createAdmission<QueuedStatement>({
     runtime,
     slots: options.slots,
     policies: options.policies,
     queueCapacity: QUEUE_CAPACITY,
     connectionShare: () => Math.max(options.share(), connections.count()),
-    onReady: pump,
+    onReady: dispatch,
   });
 
-  function pump(): void {
+  function dispatch(): void {
     while (
       !isClosed &&
       admission.mayStart() &&
       (connections.hasIdle() ||
         connections.mayOpen() ||
-        questionConnection.mayLend())
+        controlConnection.canBorrow())
     ) {
       const entry = admission.next();
       if (entry === undefined) {
         return;
       }
-      if (entry.work.isAbandoned()) {
+      if (entry.statement.isAbandoned()) {
         entry.refuse(ABANDONED);
         continue;
       }
@@ -114,40 +119,43 @@
     }
   }
 
-  function* obtain(work: StatementWork): Task<Obtained> {
-    const idle = connections.take(work.user, work.settings);
+  function* acquire(statement: StatementWork): Task<AcquireResult> {
+    const idle = connections.take(statement.user, statement.settings);
     if (idle !== undefined) {
       return Ok(idle);
     }
-    if (!connections.mayOpen() && !connections.makeRoom()) {
-      return lendQuestions(work);
+    if (!connections.mayOpen() && !connections.evictIdle()) {
+      return borrowControlConnection(statement);
     }
-    const opened = yield* waitFor(connections.open(work.user));
+    const opened = yield* waitFor(connections.open(statement.user));
     if (opened.ok) {
       return opened;
     }
     if (opened.val === 'tooManyConnections') {
-      return lendQuestions(work);
+      return borrowControlConnection(statement);
     }
-    options.onSilence(opened.val);
+    options.onUnresponsive(opened.val);
     return opened;
   }
 
   /**
-   * The connection for questions is the proxy's own, and a transaction would keep
-   * questions waiting.
+   * The control connection is opened for the proxy itself, so it serves no other
+   * user. It serves no transaction either, which would block control commands.
    */
-  function lendQuestions({request, user}: StatementWork): Obtained {
+  function borrowControlConnection({
+    request,
+    user,
+  }: StatementWork): AcquireResult {
     const mayBorrow = user === undefined && request.body.kind !== 'begin';
-    const lent = mayBorrow ? questionConnection.lend() : undefined;
-    return lent === undefined ? Err('tooManyConnections') : Ok(lent);
+    const borrowed = mayBorrow ? controlConnection.borrow() : undefined;
+    return borrowed === undefined ? Err('tooManyConnections') : Ok(borrowed);
   }
 
-  function release(shared: SharedConnection): void {
-    if (questionConnection.owns(shared)) {
-      questionConnection.takeBack(shared);
+  function releaseConnection(shared: SharedConnection): void {
+    if (controlConnection.owns(shared)) {
+      controlConnection.returnBorrowed(shared);
     } else {
-      connections.giveBack(shared);
+      connections.release(shared);
     }
   }
 
@@ -156,35 +164,38 @@
     run.end(isBusy ? 'exhausted' : 'answered', answer.error !== undefined);
   }
 
-  function giveBack(shared: SharedConnection, answer: StatementAnswer): void {
+  function releaseAfter(
+    shared: SharedConnection,
+    answer: StatementAnswer,
+  ): void {
     if (answer.state !== 'idle') {
       shared.connection.close();
     }
-    release(shared);
+    releaseConnection(shared);
   }
 
   function* attempt(
-    work: StatementWork,
+    statement: StatementWork,
     run: AdmittedRun,
   ): Task<{outcome: StatementOutcome; shared?: SharedConnection}> {
-    const obtained = yield* obtain(work);
-    if (obtained.err) {
+    const acquired = yield* acquire(statement);
+    if (acquired.err) {
       run.end('lost', true);
-      return {outcome: {kind: 'unreached', failure: obtained.val}};
+      return {outcome: {kind: 'unreached', failure: acquired.val}};
     }
-    const shared = obtained.val;
-    const remaining = work.deadline - timer.now();
-    if (remaining <= 0 || work.isAbandoned()) {
+    const shared = acquired.val;
+    const remaining = statement.deadline - timer.now();
+    if (remaining <= 0 || statement.isAbandoned()) {
       run.end('lost', true);
-      release(shared);
+      releaseConnection(shared);
       return {outcome: {kind: 'refused', retryAfter: 0}};
     }
-    work.onSent();
+    statement.onSent();
     run.sent();
     const reply = yield* exchangeStatement({
       timer,
       shared,
-      work,
+      statement,
       timeout: remaining,
       isInTransaction: false,
       writes,
@@ -192,7 +203,7 @@
     });
     if (reply.err) {
       run.end('lost', true);
-      release(shared);
+      releaseConnection(shared);
       return {outcome: {kind: 'lost'}};
     }
     endRun(run, reply.val);
@@ -200,78 +211,78 @@
   }
 
   function* serveStatement(
-    work: StatementWork,
+    statement: StatementWork,
     run: AdmittedRun,
     result: Deferred<StatementOutcome>,
   ): Task<void> {
-    const {outcome, shared} = yield* attempt(work, run);
+    const {outcome, shared} = yield* attempt(statement, run);
     if (shared !== undefined && outcome.kind === 'answered') {
-      giveBack(shared, outcome.answer);
+      releaseAfter(shared, outcome.answer);
     }
     result.settle(outcome);
-    pump();
+    dispatch();
   }
 
   function* servePin(
-    work: StatementWork,
+    statement: StatementWork,
     run: AdmittedRun,
     result: Deferred<PinnedStart>,
   ): Task<void> {
-    const {outcome, shared} = yield* attempt(work, run);
+    const {outcome, shared} = yield* attempt(statement, run);
     if (shared === undefined || outcome.kind !== 'answered') {
       result.settle({outcome, pinned: undefined});
-    } else if (outcome.answer.error === undefined && !work.isAbandoned()) {
+    } else if (outcome.answer.error === undefined && !statement.isAbandoned()) {
       const pinned = pinConnection({
         runtime,
         target,
         shared,
-        settings: work.settings,
+        settings: statement.settings,
         writes,
         onAnswers: options.onAnswers,
-        giveBack: connections.giveBack,
+        release: connections.release,
       });
       result.settle({outcome, pinned});
     } else {
-      giveBack(shared, outcome.answer);
+      releaseAfter(shared, outcome.answer);
       result.settle({outcome, pinned: undefined});
     }
-    pump();
+    dispatch();
   }
 
   function admit(
-    work: StatementWork,
+    statement: StatementWork,
     serve: (run: AdmittedRun) => Task<void>,
     refuse: (retryAfter: Milliseconds) => void,
   ): void {
     arrivals += 1;
     admission.add({
-      work,
-      kind: work.kind,
-      worth: work.worth,
-      deadline: work.deadline,
-      expected: admission.expected(work.kind),
+      statement,
+      kind: statement.kind,
+      worth: statement.worth,
+      deadline: statement.deadline,
+      expected: admission.expected(statement.kind),
       order: arrivals,
       serve,
       refuse: failure => refuse(failure.retryAfter ?? 0),
     });
-    pump();
+    dispatch();
   }
 
   return {
-    run(work) {
+    run(statement) {
       const result = createDeferred<StatementOutcome>();
       admit(
-        work,
-        run => serveStatement(work, run, result),
+        statement,
+        run => serveStatement(statement, run, result),
         retryAfter => result.settle({kind: 'refused', retryAfter}),
       );
       return result.future;
     },
-    pin(work) {
+    pin(statement) {
       const result = createDeferred<PinnedStart>();
       admit(
-        work,
-        run => servePin(work, run, result),
+        statement,
+        run => servePin(statement, run, result),
         retryAfter =>
           result.settle({
             outcome: {kind: 'refused', retryAfter},
@@ -281,11 +292,11 @@
       return result.future;
     },
     expectedTime: admission.expectedTime,
-    pump,
+    dispatch,
     close() {
       isClosed = true;
       for (const entry of admission.takeAll()) {
-        entry.refuse(GONE);
+        entry.refuse(TARGET_REMOVED);
       }
     },
   };
--- /dev/null
+++ b/packages/targets/src/target_commands.ts
@@ -0,0 +1,141 @@
+/** Runs commands of the proxy on one target, over the control connection. */
+import {
+  type Deferred,
+  type Future,
+  type Milliseconds,
+  type Runtime,
+  type Task,
+  createDeferred,
+  waitFor,
+} from '@kelpstep/runtime';
+import {
+  type ConnectionLoss,
+  type OpenFailure,
+  type StatementAnswer,
+  type TargetConnection,
+  type TargetOrder,
+  noteApplied,
+} from '@kelpstep/statements';
+import {Err, Ok, type Result} from 'ts-results';
+
+import type {ControlConnection} from './control_connection';
+
+/**
+ * Answer to a command. 'behind a statement': the command timed out while a
+ * statement ran on the connection. 'too late': it was not sent by `sendUntil`.
+ */
+export type CommandReply = Result<
+  StatementAnswer,
+  ConnectionLoss | OpenFailure | 'behind a statement' | 'too late'
+>;
+
+/** Options of commands to one target. */
+export interface TargetCommandsOptions {
+  readonly runtime: Runtime;
+  readonly connection: ControlConnection;
+  onAnswers(
+    requestedAt: Milliseconds,
+    answers: readonly StatementAnswer[],
+  ): void;
+  onRoundTrip(duration: Milliseconds): void;
+  /** The target did not accept a connection, or not answer on a new one either. */
+  onUnresponsive(reason: string): void;
+}
+
+/** Runs commands on one target. */
+export interface TargetCommands {
+  /**
+   * Runs a command. It is not sent after `sendUntil`, a monotonic time that is
+   * `Infinity` by default.
+   */
+  execute(
+    command: TargetOrder,
+    timeout: Milliseconds,
+    sendUntil?: Milliseconds,
+  ): Future<CommandReply>;
+}
+
+/** Creates the command interface to a target. */
+export function createTargetCommands(
+  options: TargetCommandsOptions,
+): TargetCommands {
+  const {runtime} = options;
+  const {timer} = runtime;
+
+  function* sendOnce(
+    command: TargetOrder,
+    timeout: Milliseconds,
+    sendUntil: Milliseconds,
+  ): Task<CommandReply> {
+    const opened = yield* waitFor(options.connection.get());
+    if (opened.err) {
+      if (opened.val !== 'tooManyConnections') {
+        options.onUnresponsive(opened.val);
+      }
+      return opened;
+    }
+    if (timer.now() > sendUntil) {
+      return Err('too late');
+    }
+    const {connection, applied} = opened.val;
+    const request = {body: command};
+    const requestedAt = timer.now();
+    const sent = connection.send([request], timeout);
+    noteApplied(applied, [request]);
+    const reply = yield* waitFor(sent);
+    if (reply.err) {
+      return handleLoss(connection, reply.val);
+    }
+    options.onRoundTrip(timer.now() - requestedAt);
+    options.onAnswers(requestedAt, reply.val);
+    return Ok(reply.val[0] as StatementAnswer);
+  }
+
+  /** A time-out behind a running statement does not show a broken connection. */
+  function handleLoss(
+    connection: TargetConnection,
+    loss: ConnectionLoss,
+  ): CommandReply {
+    if (loss === 'timed out' && options.connection.isBorrowed()) {
+      return Err('behind a statement');
+    }
+    connection.close();
+    return Err(loss);
+  }
+
+  /** Retries on a new connection to tell a lost connection from a lost target. */
+  function* sendWithRetry(
+    command: TargetOrder,
+    timeout: Milliseconds,
+    sendUntil: Milliseconds,
+    result: Deferred<CommandReply>,
+  ): Task<void> {
+    const first = yield* sendOnce(command, timeout, sendUntil);
+    const isLoss =
+      first.err && (first.val === 'closed' || first.val === 'timed out');
+    if (!isLoss) {
+      result.settle(first);
+      return;
+    }
+    const second = yield* sendOnce(command, timeout, sendUntil);
+    const isUnresponsive =
+      second.err &&
+      second.val !== 'behind a statement' &&
+      second.val !== 'too late';
+    if (isUnresponsive) {
+      options.onUnresponsive(second.val);
+    }
+    result.settle(second);
+  }
+
+  return {
+    execute(command, timeout, sendUntil = Infinity) {
+      const result = createDeferred<CommandReply>();
+      runtime.spawn(
+        'question',
+        sendWithRetry(command, timeout, sendUntil, result),
+      );
+      return result.future;
+    },
+  };
+}
--- a/packages/targets/src/target_group.ts
+++ b/packages/targets/src/target_group.ts
@@ -1,6 +1,6 @@
 /**
- * A group of targets as this proxy knows it: links to all of them, who leads,
- * and how fresh a position is proved to be.
+ * A group of targets as known to this proxy: links to all targets, the current
+ * leader and the log positions with their proven freshness.
  */
 import type {LogPosition} from '@kelpstep/protocol';
 import type {AdmissionPolicies} from '@kelpstep/pool';
@@ -17,19 +17,19 @@
 } from '@kelpstep/statements';
 
 import {type ChangeSignal, createChangeSignal} from './change_signal';
-import {shareOfHolder} from './connection_shares';
+import {connectionsPerOwner} from './connection_shares';
 import {type GroupPositions, createGroupPositions} from './group_positions';
 import type {GroupSettings, TargetRegistration} from './registration';
 import {type TargetLink, createTargetLink} from './target_link';
 
-/** What a group tells of itself, for the log. */
+/** Events of a group, for the log. */
 export interface TargetGroupEvents {
   onReachability(target: string, isReached: boolean, reason: string): void;
   onLeader(target: string, term: number): void;
   onTarget(target: string, event: 'added' | 'gone' | 'restarted'): void;
 }
 
-/** What a group is made of. */
+/** Options of a group. */
 export interface TargetGroupOptions {
   readonly group: string;
   readonly runtime: Runtime;
@@ -37,62 +37,66 @@
   readonly readStatus: ReadTargetStatus;
   readonly policies: AdmissionPolicies;
   readonly events: TargetGroupEvents;
-  /** Proxies that share the connections; `Infinity` while that isn't known. */
+  /** Number of connection owners; `Infinity` while it is unknown. */
   holders(): number;
 }
 
 /** A group of targets. */
 export interface TargetGroup {
   readonly group: string;
-  /** Takes in the list and the settings in force. */
+  /** Applies the current registrations and settings. */
   update(
     registrations: readonly TargetRegistration[],
     settings: GroupSettings,
   ): void;
-  /** Links to all targets that count. */
+  /** Links to all members of the group. */
   links(): readonly TargetLink[];
   link(target: string): TargetLink | undefined;
-  /** The target that leads as far as is known. */
+  /** The newest known leader; its leadership may have ended. */
   leader(): TargetLink | undefined;
   readonly positions: GroupPositions;
-  /** A position that covers all commits before a time, if it can be proved. */
+  /**
+   * Waits for a position that provably covers all commits before `time`;
+   * `undefined` if there is none by the deadline. Both are monotonic times.
+   */
   awaitCovering(
     time: Milliseconds,
     deadline: Milliseconds,
   ): Task<LogPosition | undefined>;
-  /** Changes of the leader, of targets and of log positions. */
+  /** Signals changes of the leader, the targets and the log positions. */
   readonly changes: ChangeSignal;
-  /** Asks what is not known well enough; call it every `TICK_PERIOD`. */
+  /** Probes targets whose state is out of date; call it every `TICK_PERIOD_MS`. */
   tick(): void;
   close(): void;
 }
 
-/** Period of `tick`. */
+/** Interval at which `TargetGroup.tick` is called. */
 export const TICK_PERIOD: Milliseconds = 100;
 /**
- * A target that told nothing for so long is asked. Well below the shortest
- * staleness of routes, so that samples are at hand.
+ * A target is probed when its newest known state is this old. Well below the
+ * shortest staleness bound of routes, so that recent samples are available.
  */
-const PROBE_AFTER: Milliseconds = 300;
+const PROBE_INTERVAL_MS: Milliseconds = 300;
 /**
- * Least time between rounds that ask for statuses: a round trip between regions.
- * Without it each read that waited started one, 2,600 statuses in half a minute
- * of seven proxies without a primary.
+ * Minimum time between probe rounds that include statuses: a round trip between
+ * regions. Without it each waiting read starts a round: 7 proxies without a
+ * primary sent 2,600 status probes in 30 s.
  */
-const ROUND_SPACING: Milliseconds = 25;
+const PROBE_ROUND_INTERVAL_MS: Milliseconds = 25;
 /**
- * How long a target counts after its entry has gone. Entries that lapsed with
- * the list's store come back within about two seconds.
+ * A target is removed when its registration has been missing for this long.
+ * Registrations that expire during an outage of the registration store are
+ * back within about 2 s.
  */
-const KEPT_AFTER_ENTRY: Milliseconds = 2500;
+const REMOVAL_DELAY_MS: Milliseconds = 2500;
 
 interface Member {
   readonly link: TargetLink;
-  /** When the entry went; undefined while it is there. */
+  /** Since when the registration is missing; undefined while it is listed. */
   missingSince: Milliseconds | undefined;
 }
 
-/** Creates a group without targets. */
+/** Creates a group without members. */
 export function createTargetGroup(options: TargetGroupOptions): TargetGroup {
   const {runtime, events} = options;
   const {timer} = runtime;
@@ -105,11 +109,11 @@
     connectionLimit: 1,
     synchronousReplicas: 0,
   };
-  let roundStartedAt = -Infinity;
+  let probeRoundStartedAt = -Infinity;
   let knownLeader = '';
 
   function share(): number {
-    return shareOfHolder(settings.connectionLimit, options.holders());
+    return connectionsPerOwner(settings.connectionLimit, options.holders());
   }
 
   function noteLeader(): void {
@@ -130,12 +134,12 @@
       open: options.open,
       readStatus: options.readStatus,
       policies: options.policies,
-      onPosition(askedAt, position) {
-        positions.notePosition(target, askedAt, position);
+      onPosition(requestedAt, position) {
+        positions.notePosition(target, requestedAt, position);
         changes.give();
       },
-      onStatus(askedAt, status) {
-        positions.noteStatus(target, askedAt, status);
+      onStatus(requestedAt, status) {
+        positions.noteStatus(target, requestedAt, status);
         noteLeader();
         changes.give();
       },
@@ -151,11 +155,11 @@
   function remove(target: string, event: 'gone' | 'restarted'): void {
     members.get(target)?.link.close();
     members.delete(target);
-    positions.forget(target);
+    positions.discard(target);
     events.onTarget(target, event);
   }
 
-  function take(registration: TargetRegistration): void {
+  function applyRegistration(registration: TargetRegistration): void {
     const {target, address, startedAt} = registration;
     const known = members.get(target);
     const before = known?.link.registration();
@@ -179,11 +183,11 @@
     }
   }
 
-  function dropMissing(): void {
+  function removeMissing(): void {
     for (const [target, {missingSince}] of [...members]) {
       if (
         missingSince !== undefined &&
-        timer.now() - missingSince > KEPT_AFTER_ENTRY
+        timer.now() - missingSince > REMOVAL_DELAY_MS
       ) {
         remove(target, 'gone');
         setTargets();
@@ -202,7 +206,7 @@
     settings = nextSettings;
     const before = members.size;
     const listed = new Set(registrations.map(({target}) => target));
-    registrations.forEach(take);
+    registrations.forEach(applyRegistration);
     for (const [target, member] of members) {
       if (!listed.has(target)) {
         member.missingSince ??= timer.now();
@@ -211,7 +215,8 @@
     setTargets();
     changes.give();
     if (members.size > before) {
-      // New targets are asked at once: after a start nothing is served before.
+      // New targets are probed at once: after a start nothing is served until
+      // their state is known.
       tick();
     }
   }
@@ -225,16 +230,16 @@
     return leadership && members.get(leadership.target)?.link;
   }
 
-  function hasSilentTarget(): boolean {
+  function hasUnresponsiveTarget(): boolean {
     return links().some(link => !link.isReached());
   }
 
-  /** Asks all targets, so that a position may be proved to cover all by now. */
-  function startRound(): void {
-    roundStartedAt = timer.now();
-    const needsStatus = hasSilentTarget();
+  /** Probes all targets to obtain a position that covers all commits so far. */
+  function startProbeRound(): void {
+    probeRoundStartedAt = timer.now();
+    const needsStatus = hasUnresponsiveTarget();
     for (const link of links()) {
-      void link.probe();
+      void link.probePosition();
       if (needsStatus && link.isReached()) {
         void link.askStatus();
       }
@@ -242,19 +247,20 @@
   }
 
   /**
-   * A round proves nothing while the leader is silent. With a silent target it
-   * asks for statuses, which take slots: all that wait share one.
+   * A round proves nothing while the leader is unresponsive. With an unresponsive
+   * target it includes statuses, which occupy slots of the targets: all waiting
+   * tasks share one round.
    */
-  function mayStartRound(): boolean {
+  function mayStartProbeRound(): boolean {
     if (!leader()?.isReached()) {
       return false;
     }
-    const age = timer.now() - roundStartedAt;
-    return !hasSilentTarget() || age >= ROUND_SPACING;
+    const age = timer.now() - probeRoundStartedAt;
+    return !hasUnresponsiveTarget() || age >= PROBE_ROUND_INTERVAL_MS;
   }
 
-  /** Targets that may lead without it being known: all if nobody does. */
-  function findClaimants(): TargetLink[] {
+  /** Targets that may be the primary although another or none is known. */
+  function findPossibleLeaders(): TargetLink[] {
     const known = positions.leader()?.target;
     return links().filter(
       link =>
@@ -266,24 +272,24 @@
 
   function tick(): void {
     checkSuspension();
-    dropMissing();
+    removeMissing();
     const now = timer.now();
     for (const link of links()) {
       link.trim();
-      if (now - link.lastAskedAt() >= PROBE_AFTER) {
-        void link.probe();
+      if (now - link.lastAskedAt() >= PROBE_INTERVAL_MS) {
+        void link.probePosition();
       }
     }
-    findClaimants().forEach(link => void link.askStatus());
-    const isUnproved = now - positions.coveredAt() > 2 * PROBE_AFTER;
-    if (isUnproved && hasSilentTarget() && mayStartRound()) {
-      startRound();
+    findPossibleLeaders().forEach(link => void link.askStatus());
+    const isCoverageStale = now - positions.coveredAt() > 2 * PROBE_INTERVAL_MS;
+    if (isCoverageStale && hasUnresponsiveTarget() && mayStartProbeRound()) {
+      startProbeRound();
     }
   }
 
   function checkSuspension(): void {
     if (suspension.hasSlept()) {
-      positions.forgetAll();
+      positions.discardAll();
     }
   }
 
@@ -301,10 +307,13 @@
       if (remaining <= 0) {
         return undefined;
       }
-      if (roundStartedAt < time && mayStartRound()) {
-        startRound();
+      if (probeRoundStartedAt < time && mayStartProbeRound()) {
+        startProbeRound();
       }
-      yield* waitAtMost(changes.next(), Math.min(remaining, ROUND_SPACING));
+      yield* waitAtMost(
+        changes.next(),
+        Math.min(remaining, PROBE_ROUND_INTERVAL_MS),
+      );
     }
   }
 
--- a/packages/targets/src/target_link.ts
+++ b/packages/targets/src/target_link.ts
@@ -1,7 +1,7 @@
 /**
- * One target as this proxy uses it: admission of statements, the connections
- * that sessions share, and one connection of its own for questions, which also
- * tells whether the target is reached.
+ * One target as used by this proxy: admission of statements, the connections
+ * shared by sessions, and a control connection for probes and commands, which
+ * also shows whether the target is reachable.
  */
 import type {AdmissionPolicies} from '@kelpstep/pool';
 import type {LogPosition} from '@kelpstep/protocol';
@@ -23,7 +23,7 @@
 } from '@kelpstep/statements';
 import {Err} from 'ts-results';
 
-import {createQuestionConnection} from './question_connection';
+import {createControlConnection} from './control_connection';
 import type {TargetRegistration} from './registration';
 import {createSharedConnections} from './shared_connections';
 import {createStatementRunner} from './statement_runner';
@@ -31,104 +31,113 @@
   PinnedStart,
   StatementOutcome,
   StatementWork,
-} from './statement_work';
-import {type OrderReply, createTargetQuestions} from './target_questions';
+} from './statement_request';
+import {type CommandReply, createTargetCommands} from './target_commands';
 import {createWriteProgress} from './write_progress';
 
-/** What a link is made of. */
+/** Options of a link. */
 export interface TargetLinkOptions {
   readonly runtime: Runtime;
   readonly registration: TargetRegistration;
   readonly open: OpenTargetConnection;
   readonly readStatus: ReadTargetStatus;
   readonly policies: AdmissionPolicies;
-  /** Connections that this proxy may hold at the target at most. */
+  /** Maximum number of connections of this proxy to the target. */
   share(): number;
-  /** Called with the log's end whenever the target told it. */
-  onPosition(askedAt: Milliseconds, position: LogPosition): void;
-  onStatus(askedAt: Milliseconds, status: TargetStatus): void;
-  /** The target is reached again, or no more. */
+  /**
+   * Called with each end of the applied log that the target reports.
+   * `requestedAt` is the monotonic time when the answered request was sent.
+   */
+  onPosition(requestedAt: Milliseconds, position: LogPosition): void;
+  onStatus(requestedAt: Milliseconds, status: TargetStatus): void;
+  /** Called when the target becomes reachable or unreachable. */
   onReachability(isReached: boolean, reason: string): void;
 }
 
-/** One target as this proxy uses it. */
+/** Runs statements and commands on one target. */
 export interface TargetLink {
   readonly target: string;
   registration(): TargetRegistration;
   update(registration: TargetRegistration): void;
-  run(work: StatementWork): Future<StatementOutcome>;
-  /** Starts a transaction; `work.request` begins it. */
-  pin(work: StatementWork): Future<PinnedStart>;
-  /** Asks on the link's own connection. */
+  run(statement: StatementWork): Future<StatementOutcome>;
+  /** Starts a transaction; `statement.request` begins it. */
+  pin(statement: StatementWork): Future<PinnedStart>;
+  /** Sends a command on the control connection. */
   order(
-    order: TargetOrder,
+    command: TargetOrder,
     timeout: Milliseconds,
-    /** Monotonic time after which it isn't sent any more; never by default. */
+    /** Monotonic time after which it is not sent; `Infinity` by default. */
     sendUntil?: Milliseconds,
-  ): Future<OrderReply>;
-  /** Asks for the log's end. */
-  probe(): Future<boolean>;
-  /** Asks how the target sees itself. */
+  ): Future<CommandReply>;
+  /** Probes the end of the target's log; false without an answer. */
+  probePosition(): Future<boolean>;
+  /** Probes the target's role, term and received log. */
   askStatus(): Future<TargetStatus | undefined>;
   /** Predicted time until a statement of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
-  /** Shortest round trip seen. */
+  /** Shortest round trip of a control command so far. */
   roundTrip(): Milliseconds | undefined;
-  /** False after a failed question, until one is answered again. */
+  /** False from a failed probe or connection attempt until the next answer. */
   isReached(): boolean;
-  /** Since when no question was answered; undefined while they are. */
+  /** Since when the target is unresponsive; undefined while it is reachable. */
   silentSince(): Milliseconds | undefined;
+  /** When the newest answered request was sent; `-Infinity` without one. */
   lastAskedAt(): Milliseconds;
-  /** True while this proxy has no connection for the user and gets none. */
+  /**
+   * True while this proxy holds no connection for the user and the target's
+   * connection limit prevents a new one.
+   */
   isShutOut(user: ConnectionUser): boolean;
-  /** Since when writes wait and none is answered; undefined if none waits. */
+  /** Since when pending writes are unanswered; undefined if none is pending. */
   writesStalledSince(): Milliseconds | undefined;
-  /** Closes what is open beyond need; call it a few times a second. */
+  /** Closes idle connections beyond the share; call it a few times a second. */
   trim(): void;
   close(): void;
 }
 
 /**
- * Time for the answer to a question. The longest round trip between regions is
- * tens of milliseconds; a target answers these without a slot. With the time to
- * open a connection it is most of the time in which a silent target is found.
+ * Time-out of probes. Round trips between regions take tens of milliseconds at
+ * most, and targets answer probes without occupying a slot. Together with the
+ * time-out for opening a connection this makes up most of the time to detect an
+ * unresponsive target.
  */
-const QUESTION_TIMEOUT: Milliseconds = 250;
-/** Creates the link to a target; nothing is opened before it is needed. */
+const CONTROL_TIMEOUT_MS: Milliseconds = 250;
+
+/** Creates the link to a target; connections are opened on demand. */
 export function createTargetLink(options: TargetLinkOptions): TargetLink {
   const {runtime, onPosition} = options;
   const {timer} = runtime;
   let registration = options.registration;
   const {target} = registration;
-  const place = options.registration;
+  const targetAddress = options.registration;
   let shortestRoundTrip: Milliseconds | undefined;
-  let silentSince: Milliseconds | undefined;
-  let lastAskedAt = -Infinity;
+  let unresponsiveSince: Milliseconds | undefined;
+  let lastContactAt = -Infinity;
   let isClosed = false;
 
   const connections = createSharedConnections({
     timer,
-    target: place,
+    target: targetAddress,
     open: options.open,
     share,
-    onRoom: () => runner.pump(),
+    onAvailable: () => runner.dispatch(),
     onOpened: noteOpened,
   });
   const writes = createWriteProgress(timer);
-  const questionConnection = createQuestionConnection({
+  const controlConnection = createControlConnection({
     timer,
-    target: place,
+    target: targetAddress,
     open: options.open,
     onOpened: noteOpened,
   });
-  const questions = createTargetQuestions({
+  const commands = createTargetCommands({
     runtime,
-    connection: questionConnection,
+    connection: controlConnection,
     onAnswers: noteAnswers,
     onRoundTrip(duration) {
       shortestRoundTrip = Math.min(shortestRoundTrip ?? Infinity, duration);
     },
-    onSilence: unheard,
+    onUnresponsive: markUnresponsive,
   });
   const runner = createStatementRunner({
     runtime,
@@ -136,81 +145,81 @@
     slots: registration.slots,
     policies: options.policies,
     connections,
-    questionConnection,
+    controlConnection,
     writes,
     share,
     onAnswers: noteAnswers,
-    onSilence: unheard,
+    onUnresponsive: markUnresponsive,
   });
 
-  /** One of the connections is for questions. */
+  /** One of the connections is the control connection. */
   function share(): number {
     return Math.max(1, options.share() - 1);
   }
 
-  function heard(askedAt: Milliseconds): void {
-    lastAskedAt = Math.max(lastAskedAt, askedAt);
-    if (silentSince !== undefined) {
-      silentSince = undefined;
+  function markResponsive(requestedAt: Milliseconds): void {
+    lastContactAt = Math.max(lastContactAt, requestedAt);
+    if (unresponsiveSince !== undefined) {
+      unresponsiveSince = undefined;
       options.onReachability(true, 'answered');
     }
   }
 
-  function unheard(reason: string): void {
-    if (silentSince === undefined) {
-      silentSince = timer.now();
+  function markUnresponsive(reason: string): void {
+    if (unresponsiveSince === undefined) {
+      unresponsiveSince = timer.now();
       options.onReachability(false, reason);
     }
   }
 
   function noteAnswers(
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     answers: readonly StatementAnswer[],
   ): void {
-    heard(askedAt);
+    markResponsive(requestedAt);
     const position = answers[answers.length - 1]?.position;
     if (position !== undefined) {
-      onPosition(askedAt, position);
+      onPosition(requestedAt, position);
     }
   }
 
   function noteOpened(
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     {position, firstAnswers}: OpenedConnection,
   ): void {
-    heard(askedAt);
+    markResponsive(requestedAt);
     if (position !== undefined) {
-      onPosition(askedAt, position);
+      onPosition(requestedAt, position);
     }
-    firstAnswers.forEach(answer => noteStatus(askedAt, answer));
+    firstAnswers.forEach(answer => noteStatus(requestedAt, answer));
   }
 
   function noteStatus(
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
     answer: StatementAnswer,
   ): TargetStatus | undefined {
     const status = options.readStatus(answer);
     if (status !== undefined) {
-      options.onStatus(askedAt, status);
+      options.onStatus(requestedAt, status);
     }
     return status;
   }
 
-  function order(
-    question: TargetOrder,
+  function sendCommand(
+    command: TargetOrder,
     timeout: Milliseconds,
     sendUntil?: Milliseconds,
-  ): Future<OrderReply> {
+  ): Future<CommandReply> {
     return isClosed
       ? settledFuture(Err('closed'))
-      : questions.ask(question, timeout, sendUntil);
+      : commands.execute(command, timeout, sendUntil);
   }
 
-  function askStatus(): Future<TargetStatus | undefined> {
-    const askedAt = timer.now();
-    const reply = order({kind: 'status'}, QUESTION_TIMEOUT);
+  function probeStatus(): Future<TargetStatus | undefined> {
+    const requestedAt = timer.now();
+    const reply = sendCommand({kind: 'status'}, CONTROL_TIMEOUT_MS);
     return mapFuture(reply, result => {
-      return result.ok ? noteStatus(askedAt, result.val) : undefined;
+      return result.ok ? noteStatus(requestedAt, result.val) : undefined;
     });
   }
 
@@ -222,16 +231,19 @@
     },
     run: runner.run,
     pin: runner.pin,
-    order,
-    probe: () =>
-      mapFuture(order({kind: 'reset'}, QUESTION_TIMEOUT), reply => reply.ok),
-    askStatus,
+    order: sendCommand,
+    probePosition: () =>
+      mapFuture(
+        sendCommand({kind: 'reset'}, CONTROL_TIMEOUT_MS),
+        reply => reply.ok,
+      ),
+    askStatus: probeStatus,
     expectedTime: runner.expectedTime,
     roundTrip: () => shortestRoundTrip,
-    isReached: () => silentSince === undefined,
-    silentSince: () => silentSince,
-    lastAskedAt: () => lastAskedAt,
-    // The connection for questions is lent to the proxy itself alone.
+    isReached: () => unresponsiveSince === undefined,
+    silentSince: () => unresponsiveSince,
+    lastAskedAt: () => lastContactAt,
+    // The proxy itself can fall back to the control connection.
     isShutOut: user => user !== undefined && connections.isShutOut(),
     writesStalledSince: writes.stalledSince,
     trim: connections.trim,
@@ -239,7 +251,7 @@
       isClosed = true;
       runner.close();
       connections.closeAll();
-      questionConnection.close();
+      controlConnection.close();
     },
   };
 }
--- a/packages/targets/src/write_progress.ts
+++ b/packages/targets/src/write_progress.ts
@@ -1,18 +1,18 @@
 /**
- * Tells whether writes at a target are answered. A primary that lost its replicas
- * answers all but writes: these wait for a receiver.
+ * Tracks whether a target answers writes. A primary that lost its replicas still
+ * answers reads, but its writes wait until a replica receives them.
  */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** Writes and commits that are under way at one target. */
+/** Writes and commits in flight to one target. */
 export interface WriteProgress {
-  /** A write was sent; call the result once, with whether it was answered. */
+  /** Records a sent write; call the result once, with its outcome. */
   start(): (isAnswered: boolean) => void;
-  /** Since when writes wait and none is answered; undefined if none waits. */
+  /** Since when pending writes are unanswered; undefined if none is pending. */
   stalledSince(): Milliseconds | undefined;
 }
 
-/** Creates it without writes. */
+/** Creates a tracker without pending writes. */
 export function createWriteProgress(timer: TimerService): WriteProgress {
   const waiting = new Set<{readonly sentAt: Milliseconds}>();
   let answeredAt = -Infinity;
@@ -29,7 +29,7 @@
       };
     },
     stalledSince() {
-      // A set gives the oldest first.
+      // Sets iterate in insertion order, so the first is the oldest.
       const [oldest] = waiting;
       return oldest && Math.max(oldest.sentAt, answeredAt);
     },
