--- a/packages/accounts/__tests__/choose_keepers.spec.ts
+++ b/packages/accounts/__tests__/choose_coordinators.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {type QuotaPeer, chooseKeepers} from '../src/choose_keepers';
+import {type QuotaPeer, chooseCoordinators} from '../src/choose_coordinators';
 
 function peer(proxy: string, dataCentre: string, region: string): QuotaPeer {
   return {proxy, dataCentre, region, relayAddress: proxy};
@@ -15,7 +15,7 @@
   candidates: readonly QuotaPeer[],
   unusable: readonly string[] = [],
 ) {
-  const {home, others} = chooseKeepers({
+  const {home, others} = chooseCoordinators({
     self: SELF,
     candidates,
     isUsable: ({proxy}) => !unusable.includes(proxy),
@@ -23,31 +23,31 @@
   return [home.proxy, ...others.map(({proxy}) => proxy)];
 }
 
-describe('keepers of quotas', () => {
-  test('are one a region, the own one first', () => {
+describe('quota coordinators', () => {
+  test('are one per region, with that of the own region first', () => {
     expect(choose([...SOUTH, ...NORTH])).toEqual(['n1', 's1']);
   });
 
-  test('are one a data centre where there is one region', () => {
+  test('are one per data centre if there is only one region', () => {
     const centres = [peer('x', 'b', 'north'), ...NORTH];
     expect(choose(centres)).toEqual(['n1', 'x']);
   });
 
-  test('are replaced while they are not reached', () => {
+  test('are replaced while they are unreachable', () => {
     expect(choose([...NORTH, ...SOUTH], ['n1', 's1'])).toEqual(['n2', 's2']);
   });
 
-  test('are those elsewhere while none of the own region is reached', () => {
+  test('are those of other regions while the own region is unreachable', () => {
     expect(choose([...NORTH, ...SOUTH], ['n1', 'n2'])).toEqual(['s1']);
   });
 
-  test('are this proxy alone while no other is reached', () => {
+  test('are only this proxy while no other is reachable', () => {
     const all = [...NORTH, ...SOUTH];
     expect(choose(all, ['n1', 'n2', 's1', 's2'])).toEqual(['me']);
     expect(choose([])).toEqual(['me']);
   });
 
-  test('may be this proxy itself', () => {
+  test('can include this proxy', () => {
     expect(choose([SELF, ...SOUTH])).toEqual(['me', 's1']);
   });
 });
--- a/packages/accounts/__tests__/part_lease.spec.ts
+++ b/packages/accounts/__tests__/part_lease.spec.ts
@@ -2,90 +2,102 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {LOAN_TIME, createPartLease} from '../src/part_lease';
+import {LEASE_DURATION_MS, createShareLease} from '../src/part_lease';
 
 const READING = {process: 'p1', time: 500};
 
-describe('the own part of all quotas', () => {
-  test('is lent once the borrower has told its clock', () => {
-    const lease = createPartLease();
+describe('the own share of all quotas', () => {
+  test('is leased once the clock reading of the coordinator is known', () => {
+    const lease = createShareLease();
     expect(lease.offerTo('b', 0)).toEqual({reading: undefined});
     lease.noteReading('b', READING, 10);
     expect(lease.offerTo('b', 20)).toEqual({reading: READING});
   });
 
-  test('is lent to no other before the loan has certainly ended', () => {
-    const lease = createPartLease();
+  test('is leased to no other coordinator before the lease has certainly expired', () => {
+    const lease = createShareLease();
     lease.noteReading('b', READING, 10);
     lease.offerTo('b', 20);
-    expect(lease.offerTo('c', 10 + LOAN_TIME - 1)).toEqual(undefined);
-    expect(lease.offerTo('c', 10 + LOAN_TIME)).toEqual({reading: undefined});
+    expect(lease.offerTo('c', 10 + LEASE_DURATION_MS - 1)).toEqual(undefined);
+    expect(lease.offerTo('c', 10 + LEASE_DURATION_MS)).toEqual({
+      reading: undefined,
+    });
   });
 
-  test('goes to another at once as long as nothing was lent', () => {
-    const lease = createPartLease();
+  test('is offered to another coordinator at once while no lease is granted', () => {
+    const lease = createShareLease();
     lease.offerTo('b', 0);
     expect(lease.offerTo('c', 1)).toEqual({reading: undefined});
   });
 
   test('is not offered with a reading that is too old', () => {
-    const lease = createPartLease();
+    const lease = createShareLease();
     lease.noteReading('b', READING, 10);
-    expect(lease.offerTo('b', 10 + LOAN_TIME)).toEqual({reading: undefined});
+    expect(lease.offerTo('b', 10 + LEASE_DURATION_MS)).toEqual({
+      reading: undefined,
+    });
   });
 });
 
-describe('a loan, whatever is held back or lost on the way', () => {
-  interface Loan {
+describe('a lease with delayed and lost messages', () => {
+  interface AssumedLease {
     readonly from: number;
     readonly until: number;
   }
 
-  /** What a play leaves out, to show that it is needed. */
-  type MissingGuard = 'none' | 'end by the reading' | 'wait for the end';
+  /** The guard that a simulation omits, to show that it is needed. */
+  type MissingGuard = 'none' | 'expiry by the reading' | 'wait for expiry';
 
   const CLOCKS = {b: 7000, c: -300};
-  type Borrower = keyof typeof CLOCKS;
+  type Coordinator = keyof typeof CLOCKS;
 
-  /** Plays one lender before two borrowers; gives the loans that they believe. */
-  function play(seed: number, missing: MissingGuard): Record<Borrower, Loan[]> {
+  /** Simulates one proxy and two coordinators; returns the leases they assume. */
+  function simulate(
+    seed: number,
+    missing: MissingGuard,
+  ): Record<Coordinator, AssumedLease[]> {
     const random = createRandom(seed);
-    const common = createPartLease();
-    const waits = missing !== 'wait for the end';
+    const shared = createShareLease();
+    const waitsForExpiry = missing !== 'wait for expiry';
     const leases = {
-      b: waits ? common : createPartLease(),
-      c: waits ? common : createPartLease(),
+      b: waitsForExpiry ? shared : createShareLease(),
+      c: waitsForExpiry ? shared : createShareLease(),
     };
-    const believed: Record<Borrower, Loan[]> = {b: [], c: []};
+    const assumed: Record<Coordinator, AssumedLease[]> = {b: [], c: []};
     const events: Array<{at: number; run: (now: number) => void}> = [];
-    let wanted: Borrower = 'b';
+    let preferred: Coordinator = 'b';
 
-    function later(now: number, run: (now: number) => void): void {
-      const isHeldBack = random.fraction() < 0.2;
-      const delay = random.integer(1, isHeldBack ? 4000 : 40);
+    function deliver(now: number, run: (now: number) => void): void {
+      const isDelayed = random.fraction() < 0.2;
+      const delay = random.integer(1, isDelayed ? 4000 : 40);
       if (random.fraction() < 0.9) {
         events.push({at: now + delay, run});
       }
     }
 
-    function ask(now: number, borrower: Borrower): void {
-      const lease = leases[borrower];
-      const clock = CLOCKS[borrower];
-      const offer = lease.offerTo(borrower, now);
+    function offerLease(now: number, coordinator: Coordinator): void {
+      const lease = leases[coordinator];
+      const clock = CLOCKS[coordinator];
+      const offer = lease.offerTo(coordinator, now);
       if (offer === undefined) {
         return;
       }
       const {reading} = offer;
-      later(now, arrivedAt => {
+      deliver(now, arrivedAt => {
         if (reading !== undefined) {
           const readAt =
-            missing === 'end by the reading' ? arrivedAt : reading.time - clock;
-          const loan = {from: arrivedAt, until: readAt + LOAN_TIME};
-          believed[borrower].push(loan);
+            missing === 'expiry by the reading'
+              ? arrivedAt
+              : reading.time - clock;
+          const assumedLease = {
+            from: arrivedAt,
+            until: readAt + LEASE_DURATION_MS,
+          };
+          assumed[coordinator].push(assumedLease);
         }
-        const answer = {process: borrower, time: arrivedAt + clock};
-        later(arrivedAt, receivedAt =>
-          lease.noteReading(borrower, answer, receivedAt),
+        const answer = {process: coordinator, time: arrivedAt + clock};
+        deliver(arrivedAt, receivedAt =>
+          lease.noteReading(coordinator, answer, receivedAt),
         );
       });
     }
@@ -95,15 +107,18 @@
         .filter(({at}) => at > now - 10 && at <= now)
         .forEach(({run}) => run(now));
       if (now % 300 === 0) {
-        const other: Borrower = wanted === 'b' ? 'c' : 'b';
-        wanted = random.fraction() < 0.1 ? other : wanted;
-        ask(now, wanted);
+        const other: Coordinator = preferred === 'b' ? 'c' : 'b';
+        preferred = random.fraction() < 0.1 ? other : preferred;
+        offerLease(now, preferred);
       }
     }
-    return believed;
+    return assumed;
   }
 
-  function isBelievedTwice({b, c}: Record<Borrower, Loan[]>): boolean {
+  function isAssumedTwice({
+    b,
+    c,
+  }: Record<Coordinator, AssumedLease[]>): boolean {
     return b.some(one =>
       c.some(
         other =>
@@ -112,19 +127,19 @@
     );
   }
 
-  function countTwice(missing: MissingGuard): number {
+  function countOverlaps(missing: MissingGuard): number {
     const seeds = Array.from({length: 200}, (unused, index) => index + 1);
-    return seeds.filter(seed => isBelievedTwice(play(seed, missing))).length;
+    return seeds.filter(seed => isAssumedTwice(simulate(seed, missing))).length;
   }
 
-  test('is never believed by two borrowers at a time', () => {
-    const loans = play(1, 'none');
-    expect([loans.b.length > 0, loans.c.length > 0]).toEqual([true, true]);
-    expect(countTwice('none')).toEqual(0);
+  test('is never assumed by two coordinators at the same time', () => {
+    const leases = simulate(1, 'none');
+    expect([leases.b.length > 0, leases.c.length > 0]).toEqual([true, true]);
+    expect(countOverlaps('none')).toEqual(0);
   });
 
-  test('would be without its end by the reading, or the wait for it', () => {
-    expect(countTwice('end by the reading') > 0).toEqual(true);
-    expect(countTwice('wait for the end') > 0).toEqual(true);
+  test('is assumed by two coordinators if a guard is omitted', () => {
+    expect(countOverlaps('expiry by the reading') > 0).toEqual(true);
+    expect(countOverlaps('wait for expiry') > 0).toEqual(true);
   });
 });
--- a/packages/accounts/__tests__/quota_pool.spec.ts
+++ b/packages/accounts/__tests__/quota_pool.spec.ts
@@ -6,19 +6,19 @@
 
 const LIMIT = {account: 'office', version: 1, rate: 10, burst: 5};
 const OTHER = {...LIMIT, account: 'depot'};
-const LONG = 1_000_000;
-const SECOND = 1000;
+const LONG_MS = 1_000_000;
+const SECOND_MS = 1000;
 
 function createEmptyPool(startAllowance = 0) {
   return createQuotaPool({startAllowance: () => startAllowance});
 }
 
-/** A pool to which a part of all quotas is lent for long. */
+/** A pool with a long lease on a share of all quotas. */
 function createPool(part = 1, now = 0) {
   const pool = createEmptyPool();
-  pool.lend({lender: 'a', part, until: now + LONG}, now);
+  pool.addLease({lender: 'a', part, until: now + LONG_MS}, now);
 
-  /** How many of so many operations are granted at once. */
+  /** Number of operations granted out of `count` requested at once. */
   function grant(count: number, at: number, limit = LIMIT): number {
     const answers = Array.from({length: count}, () => pool.take(limit, at));
     return answers.filter(({kind}) => kind === 'granted').length;
@@ -27,21 +27,21 @@
   return {...pool, grant};
 }
 
-describe('a quota that is lent as a whole', () => {
-  test('starts without a burst: another pool may have granted it', () => {
+describe('a fully leased quota', () => {
+  test('starts without a burst, which another pool may have granted', () => {
     const {grant} = createPool();
     expect(grant(10, 0)).toEqual(0);
     expect(grant(10, 200)).toEqual(2);
   });
 
-  test('saves up one burst and then grants the rate', () => {
+  test('accumulates one burst and then grants the rate', () => {
     const {grant} = createPool();
     expect(grant(100, 60_000)).toEqual(5);
     expect(grant(100, 61_000)).toEqual(10 - 5);
     expect(grant(1, 61_100)).toEqual(1);
   });
 
-  test('grants at most the burst and the rate over any time', () => {
+  test('grants at most the burst plus the rate over any time span', () => {
     const {grant} = createPool();
     let granted = grant(100, 10_000);
     for (let at = 10_010; at <= 15_000; at += 10) {
@@ -51,19 +51,19 @@
     expect(granted >= 5 * LIMIT.rate).toEqual(true);
   });
 
-  test('counts what has run beyond what was granted', () => {
+  test('counts operations that ran without being granted', () => {
     const {grant, charge} = createPool();
     charge(LIMIT, 4, 60_000);
     expect(grant(100, 60_000)).toEqual(1);
   });
 
-  test('counts accounts apart', () => {
+  test('counts each account separately', () => {
     const {grant, take} = createPool();
     grant(100, 60_000);
     expect(take(OTHER, 60_000).kind).toEqual('granted');
   });
 
-  test('takes a lower limit at once, and a higher one', () => {
+  test('applies lower and higher limits at once', () => {
     const {grant} = createPool();
     const lower = {...LIMIT, version: 2, rate: 1, burst: 1};
     const higher = {...LIMIT, version: 3, rate: 20, burst: 20};
@@ -72,7 +72,7 @@
     expect(grant(100, 61_000, higher)).toEqual(1 + 20 - 1);
   });
 
-  test('goes by the newest limit, also if an older one is asked by', () => {
+  test('applies the newest limit, also to a request with an older one', () => {
     const {grant} = createPool();
     const newer = {...LIMIT, version: 2, rate: 1, burst: 1};
     expect(grant(100, 60_000, newer)).toEqual(1);
@@ -81,97 +81,97 @@
 });
 
 describe('callers beyond a quota', () => {
-  test('are told to come back one after the other', () => {
+  test('are told to retry one after the other', () => {
     const {take, grant} = createPool();
     grant(LIMIT.burst, 60_000);
     const waits = [1, 2, 3].map(() => {
       const answer = take(LIMIT, 60_000);
       return answer.kind === 'refused' ? answer.retryAfter : 0;
     });
-    const tokenTime = SECOND / LIMIT.rate;
+    const tokenTime = SECOND_MS / LIMIT.rate;
     expect(waits).toEqual([tokenTime, 2 * tokenTime, 3 * tokenTime]);
   });
 
-  test('are not sent away for long, also where nothing is granted', () => {
+  test('are told to retry soon, also if nothing is granted', () => {
     const none = createEmptyPool().take(LIMIT, 0);
-    const zero = createPool().take({...LIMIT, rate: 0, burst: 0}, LONG - 1);
+    const zero = createPool().take({...LIMIT, rate: 0, burst: 0}, LONG_MS - 1);
     for (const answer of [none, zero]) {
       const wait = answer.kind === 'refused' ? answer.retryAfter : Infinity;
-      expect(wait > 0 && wait <= 2 * SECOND).toEqual(true);
+      expect(wait > 0 && wait <= 2 * SECOND_MS).toEqual(true);
     }
   });
 });
 
-describe('processes that start', () => {
-  const START = {lender: 'a', part: 0.5, until: LONG, startOf: 'first'};
+describe('starting processes', () => {
+  const START = {lender: 'a', part: 0.5, until: LONG_MS, startOf: 'first'};
 
   function grant(pool: ReturnType<typeof createEmptyPool>, at: number): number {
     const answers = Array.from({length: 100}, () => pool.take(LIMIT, at));
     return answers.filter(({kind}) => kind === 'granted').length;
   }
 
-  test('bring their part of an allowance, at most the burst', () => {
+  test('add their share of the start allowance, up to the burst', () => {
     const pool = createEmptyPool(4);
-    pool.lend(START, 0);
+    pool.addLease(START, 0);
     expect(grant(pool, 0)).toEqual(2);
     const generous = createEmptyPool(1000);
-    generous.lend({...START, part: 1}, 0);
+    generous.addLease({...START, part: 1}, 0);
     expect(grant(generous, 0)).toEqual(LIMIT.burst);
   });
 
-  test('bring it once', () => {
+  test('add it once', () => {
     const pool = createEmptyPool(4);
-    pool.lend(START, 0);
+    pool.addLease(START, 0);
     grant(pool, 0);
-    pool.lend(START, 0);
+    pool.addLease(START, 0);
     expect(grant(pool, 0)).toEqual(0);
-    pool.lend({...START, startOf: 'second'}, 0);
+    pool.addLease({...START, startOf: 'second'}, 0);
     expect(grant(pool, 0)).toEqual(2);
   });
 });
 
-describe('parts of a quota', () => {
-  test('grant their share, and the rest of an operation is rounded up', () => {
+describe('shares of a quota', () => {
+  test('grant their part, with fractions of an operation rounded up', () => {
     const {grant} = createPool(0.25);
     expect(grant(100, 60_000)).toEqual(2);
     expect(grant(100, 60_200)).toEqual(0);
     expect(grant(100, 60_400)).toEqual(1);
   });
 
-  test('grant nothing after the loan has ended', () => {
+  test('grant nothing after the lease has expired', () => {
     const pool = createEmptyPool();
-    pool.lend({lender: 'a', part: 1, until: 1000}, 0);
+    pool.addLease({lender: 'a', part: 1, until: 1000}, 0);
     expect(pool.lentPart(999)).toEqual(1);
     expect(pool.lentPart(1000)).toEqual(0);
     expect(pool.take(LIMIT, 60_000).kind).toEqual('refused');
   });
 
-  test('gain only for the time that they were lent', () => {
-    const {lend, grant} = createPool(0.001);
-    lend({lender: 'b', part: 0.999, until: 60_200}, 60_000);
+  test('accrue only while they are leased', () => {
+    const {addLease, grant} = createPool(0.001);
+    addLease({lender: 'b', part: 0.999, until: 60_200}, 60_000);
     expect(grant(100, 60_100) <= 2).toEqual(true);
   });
 
-  test('that leave take along what they had saved up', () => {
+  test('remove their saved tokens when their lease expires', () => {
     const pool = createEmptyPool();
-    pool.lend({lender: 'a', part: 0.2, until: LONG}, 0);
-    pool.lend({lender: 'b', part: 0.8, until: 60_000}, 0);
+    pool.addLease({lender: 'a', part: 0.2, until: LONG_MS}, 0);
+    pool.addLease({lender: 'b', part: 0.8, until: 60_000}, 0);
     expect(pool.take(LIMIT, 59_999).kind).toEqual('granted');
-    // The other part saves up its burst elsewhere, and comes back.
-    pool.lend({lender: 'b', part: 0.8, until: LONG}, 70_000);
+    // The other share accumulates its burst in another pool and returns.
+    pool.addLease({lender: 'b', part: 0.8, until: LONG_MS}, 70_000);
     const granted = Array.from({length: 9}, () =>
       pool.take(LIMIT, 70_001),
     ).filter(({kind}) => kind === 'granted').length;
     expect(granted).toEqual(2);
   });
 
-  test('are forgotten when the clock may have stood still', () => {
+  test('are dropped by a reset after a process suspension', () => {
     const {reset, lentPart} = createPool();
     reset(10);
     expect(lentPart(10)).toEqual(0);
   });
 
-  test('together grant no more than the whole, whoever has them', () => {
+  test('together grant at most the whole quota, whichever pools have them', () => {
     for (let seed = 1; seed <= 50; seed++) {
       const random = createRandom(seed);
       const pools = [createEmptyPool(), createEmptyPool(), createEmptyPool()];
@@ -183,8 +183,8 @@
           if (now >= (until.get(lender) ?? 0)) {
             const end = now + random.integer(1, 2000);
             until.set(lender, end);
-            const loan = {lender, part: 1 / lenders.length, until: end};
-            random.pick(pools).lend(loan, now);
+            const lease = {lender, part: 1 / lenders.length, until: end};
+            random.pick(pools).addLease(lease, now);
           }
         }
         for (const pool of pools) {
@@ -199,7 +199,7 @@
             grants.slice(index).filter(at => at < start + 5000).length,
         ),
       );
-      // Each pool may round one operation up.
+      // Each pool may round up one operation.
       const bound = LIMIT.burst + 5 * LIMIT.rate + pools.length;
       expect({seed, isWithin: most <= bound}).toEqual({seed, isWithin: true});
     }
--- a/packages/accounts/index.ts
+++ b/packages/accounts/index.ts
@@ -1,6 +1,6 @@
 /** Client accounts: keys and quotas. */
 export * from './src/account_directory';
-export type {QuotaPeer} from './src/choose_keepers';
+export type {QuotaPeer} from './src/choose_coordinators';
 export * from './src/create_quota';
 export * from './src/key_digest';
 export {type QuotaTolerance, createStartAllowance} from './src/start_allowance';
--- a/packages/accounts/src/account_directory.ts
+++ b/packages/accounts/src/account_directory.ts
@@ -1,10 +1,10 @@
-/** The client accounts of a configuration, by the digests of their keys. */
+/** Looks up the client accounts of a configuration by name or key digest. */
 
-/** How much an account may ask, over all proxies together. */
+/** Limit of an account's operations over all proxies together. */
 export interface QuotaLimit {
-  /** Operations a second. */
+  /** Operations per second. */
   readonly rate: number;
-  /** Operations beyond the rate that may come at once after a pause. */
+  /** Operations beyond the rate that may run at once after an idle time. */
   readonly burst: number;
 }
 
@@ -12,13 +12,13 @@
 export interface ClientAccount {
   readonly name: string;
   readonly keyDigests: readonly string[];
-  /** Undefined: it may ask as much as it likes. */
+  /** Undefined for an unlimited account. */
   readonly quota: QuotaLimit | undefined;
 }
 
 /** Accounts of one configuration. */
 export interface AccountDirectory {
-  /** The account that holds a key; undefined if none does. */
+  /** The account with this key digest; undefined if there is none. */
   holderOf(keyDigest: string): ClientAccount | undefined;
   find(account: string): ClientAccount | undefined;
 }
--- a/packages/accounts/src/create_quota.ts
+++ b/packages/accounts/src/create_quota.ts
@@ -1,7 +1,8 @@
 /**
- * Bounds what client accounts ask, over all proxies together. Each proxy lends its
- * part of all quotas to one keeper, and asks keepers for each operation: its own
- * first, then those elsewhere. The parts sum up to the whole, whoever reaches whom.
+ * Enforces the quotas of client accounts over all proxies together. Each proxy
+ * leases its share of all quotas to one quota coordinator, and requests each
+ * operation from the coordinators: first from its own, then from the others. The
+ * shares add up to the whole quota, also during network partitions.
  */
 import type {Method} from '@kelpstep/protocol';
 import type {HandlerTable} from '@kelpstep/rpc';
@@ -17,9 +18,13 @@
 } from '@kelpstep/runtime';
 import {Ok, type Result} from 'ts-results';
 
-import {type Keepers, type QuotaPeer, chooseKeepers} from './choose_keepers';
+import {
+  type QuotaCoordinators,
+  type QuotaPeer,
+  chooseCoordinators,
+} from './choose_coordinators';
 import type {QuotaLimit} from './account_directory';
-import {LOAN_TIME, createPartLease} from './part_lease';
+import {LEASE_DURATION_MS, createShareLease} from './part_lease';
 import {
   type QuotaAnswer,
   type VersionedLimit,
@@ -29,22 +34,22 @@
 } from './quota_messages';
 import {createQuotaPool} from './quota_pool';
 
-/** What quotas are made of. */
+/** Options of quotas. */
 export interface QuotaOptions {
   readonly runtime: Runtime;
   readonly self: QuotaPeer;
-  /** Undefined for an account that may ask as much as it likes. */
+  /** The current limit of an account; undefined without one. */
   limitOf(account: string): VersionedLimit | undefined;
-  /** True if any account has a limit; undefined while that isn't known. */
+  /** True if any account has a limit; undefined while this is unknown. */
   hasLimits(): boolean | undefined;
-  /** Operations beyond the limit that are allowed when all proxies start at once. */
+  /** Operations allowed beyond the limit when all proxies start at once. */
   startAllowance(limit: QuotaLimit): number;
-  /** Proxies that may be keepers, in the same order everywhere. */
+  /** Proxies that may be coordinators, in the same order on all proxies. */
   candidates(): readonly QuotaPeer[];
-  /** Proxies that share all quotas; undefined while that isn't known. */
+  /** Number of proxies that share all quotas; undefined while it is unknown. */
   fleetSize(): number | undefined;
   isUsable(peer: QuotaPeer): boolean;
-  /** Asks another proxy. */
+  /** Sends a request to another proxy. */
   request<P, R>(
     peer: QuotaPeer,
     method: Method<P, R>,
@@ -53,70 +58,70 @@
   ): Future<Result<R, unknown>>;
 }
 
-/** Bounds what accounts ask. */
+/** Enforces the quotas of accounts. */
 export interface Quota {
-  /** Counts one operation of an account if it may run. */
+  /** Requests one operation of an account, which is counted if granted. */
   take(account: string): Task<QuotaAnswer>;
-  /** Counts attempts beyond the one that was granted. */
+  /** Counts attempts beyond the granted operation. */
   charge(account: string, count: number): void;
-  /** Serves other proxies. */
+  /** Registers the handlers for requests of other proxies. */
   serve(handlers: HandlerTable): void;
-  /** Part of all quotas that this proxy counts now. */
+  /** Share of all quotas leased to this proxy now, from 0 to 1. */
   lentPart(): number;
 }
 
-/** How often a part is lent anew: some times in a loan's time. */
-const LEND_PERIOD: Milliseconds = 500;
-/** The same while it isn't lent: its quota is lost meanwhile. */
-const FIRST_LEND_PERIOD: Milliseconds = 100;
-const LEND_JITTER = 0.2;
-/** Time for an answer: a round trip between regions, and a busy keeper. */
-const REQUEST_TIMEOUT: Milliseconds = 150;
-/** Given while no keeper answers: others are chosen by then. */
-const UNANSWERED_RETRY_AFTER: Milliseconds = 300;
+/** A lease is renewed several times within its duration. */
+const LEASE_RENEWAL_INTERVAL_MS: Milliseconds = 500;
+/** Interval while no lease is granted: the share cannot be used meanwhile. */
+const LEASE_RETRY_INTERVAL_MS: Milliseconds = 100;
+const LEASE_INTERVAL_JITTER_RATIO = 0.2;
+/** Allows for a round trip between regions and a busy coordinator. */
+const REQUEST_TIMEOUT_MS: Milliseconds = 150;
+/** For an unresponsive coordinator: another one is chosen within this time. */
+const UNANSWERED_RETRY_AFTER_MS: Milliseconds = 300;
 /**
- * A keeper without room is asked again about an account this soon: what it saves up
- * would be lost.
+ * Longest time until an exhausted coordinator is requested again for an account.
+ * Tokens that accrue beyond the burst in the meantime would be lost.
  */
-const LONGEST_PAUSE: Milliseconds = 200;
-const PROCESS_DIGITS = 12;
+const MAXIMUM_BACKOFF_MS: Milliseconds = 200;
+const PROCESS_ID_LENGTH = 12;
 
-/** What a keeper without room for an account said. */
-interface FullKeeper {
-  /** It isn't asked before. */
+/** State of a coordinator that has refused an account. */
+interface ExhaustedCoordinator {
+  /** Monotonic time until which it is not requested again. */
   readonly until: Milliseconds;
   readonly retryAfter: Milliseconds;
 }
 
 const GRANTED: QuotaAnswer = {kind: 'granted'};
 
-/** Starts to lend this proxy's part; nothing is sent while nobody has a limit. */
+/** Starts leasing this proxy's share; sends nothing while no account has a limit. */
 export function createQuota(options: QuotaOptions): Quota {
   const {runtime, self} = options;
   const {timer, random} = runtime;
-  let ownProcess = '';
+  let knownProcessId = '';
   const pool = createQuotaPool({startAllowance: options.startAllowance});
-  const lease = createPartLease();
+  const shareLease = createShareLease();
   const suspension = createSuspensionGuard(timer);
-  let hasLent = false;
-  /** Keepers that had no room for an account, by both names. */
-  const full = new Map<string, FullKeeper>();
+  let hasGrantedLease = false;
+  /** Exhausted coordinators by `coordinator account`. */
+  const exhausted = new Map<string, ExhaustedCoordinator>();
 
-  /** Drawn when it is first needed: without limits nothing is. */
-  function process(): string {
-    ownProcess ||= random.hexadecimal(PROCESS_DIGITS);
-    return ownProcess;
+  /** Created on first use, so that nothing is drawn at random without limits. */
+  function processId(): string {
+    knownProcessId ||= random.hexadecimal(PROCESS_ID_LENGTH);
+    return knownProcessId;
   }
 
-  function keepers(): Keepers {
-    return chooseKeepers({
+  function coordinators(): QuotaCoordinators {
+    return chooseCoordinators({
       self,
       candidates: options.candidates(),
       isUsable: options.isUsable,
     });
   }
 
-  /** A suspended process has not seen its loans end. */
+  /** Resets the pool after a suspension, in which leases may have expired. */
   function checkedPool() {
     if (suspension.hasSlept()) {
       pool.reset(timer.now());
@@ -124,9 +129,12 @@
     return pool;
   }
 
-  /** True if the part was lent; the first time a keeper only tells its clock. */
-  function* lendTo(keeper: QuotaPeer, part: number): Task<boolean> {
-    const offer = lease.offerTo(keeper.proxy, timer.now());
+  /**
+   * True if the lease was granted. The first request to a coordinator only returns
+   * its clock reading.
+   */
+  function* grantLease(coordinator: QuotaPeer, part: number): Task<boolean> {
+    const offer = shareLease.offerTo(coordinator.proxy, timer.now());
     if (offer === undefined) {
       return false;
     }
@@ -134,120 +142,128 @@
     const message = {
       lender: self.proxy,
       part,
-      ...(hasLent ? {} : {startOf: process()}),
+      ...(hasGrantedLease ? {} : {startOf: processId()}),
       ...(reading === undefined ? {} : {reading}),
     };
     const reply = yield* waitFor(
-      options.request(keeper, quotaLend, message, REQUEST_TIMEOUT),
+      options.request(coordinator, quotaLend, message, REQUEST_TIMEOUT_MS),
     );
     if (reply.err) {
       return false;
     }
-    lease.noteReading(keeper.proxy, reply.val.reading, timer.now());
-    const isLent = reading?.process === reply.val.reading.process;
-    hasLent ||= isLent;
-    return isLent;
+    shareLease.noteReading(coordinator.proxy, reply.val.reading, timer.now());
+    const isGranted = reading?.process === reply.val.reading.process;
+    hasGrantedLease ||= isGranted;
+    return isGranted;
   }
 
-  function lendToSelf(part: number): boolean {
+  function grantLeaseToSelf(part: number): boolean {
     const now = timer.now();
-    if (lease.offerTo(self.proxy, now) === undefined) {
+    if (shareLease.offerTo(self.proxy, now) === undefined) {
       return false;
     }
-    lease.noteReading(self.proxy, {process: process(), time: now}, now);
-    lease.offerTo(self.proxy, now);
-    const startOf = hasLent ? undefined : process();
-    const until = now + LOAN_TIME;
-    const loan = {lender: self.proxy, part, until, startOf};
-    checkedPool().lend(loan, now);
-    hasLent = true;
+    shareLease.noteReading(self.proxy, {process: processId(), time: now}, now);
+    shareLease.offerTo(self.proxy, now);
+    const startOf = hasGrantedLease ? undefined : processId();
+    const until = now + LEASE_DURATION_MS;
+    const lease = {lender: self.proxy, part, until, startOf};
+    checkedPool().addLease(lease, now);
+    hasGrantedLease = true;
     return true;
   }
 
-  function* lend(): Task<boolean> {
+  function* renewLease(): Task<boolean> {
     const size = options.fleetSize();
     if (size === undefined) {
       return false;
     }
     const part = 1 / Math.max(1, size);
-    const {home} = keepers();
+    const {home} = coordinators();
     return home.proxy === self.proxy
-      ? lendToSelf(part)
-      : (yield* lendTo(home, part)) || (yield* lendTo(home, part));
+      ? grantLeaseToSelf(part)
+      : (yield* grantLease(home, part)) || (yield* grantLease(home, part));
   }
 
-  function* keepLending(): Task<void> {
-    yield* sleep(FIRST_LEND_PERIOD);
+  function* keepRenewingLease(): Task<void> {
+    yield* sleep(LEASE_RETRY_INTERVAL_MS);
     for (;;) {
       const hasLimits = options.hasLimits();
       if (hasLimits) {
-        const period = (yield* lend()) ? LEND_PERIOD : FIRST_LEND_PERIOD;
-        yield* sleep(random.jitter(period, LEND_JITTER));
+        const period = (yield* renewLease())
+          ? LEASE_RENEWAL_INTERVAL_MS
+          : LEASE_RETRY_INTERVAL_MS;
+        yield* sleep(random.jitter(period, LEASE_INTERVAL_JITTER_RATIO));
       } else {
-        yield* sleep(hasLimits === false ? LEND_PERIOD : FIRST_LEND_PERIOD);
+        yield* sleep(
+          hasLimits === false
+            ? LEASE_RENEWAL_INTERVAL_MS
+            : LEASE_RETRY_INTERVAL_MS,
+        );
       }
     }
   }
 
-  /** The newer configuration decides. */
-  function newerLimit(asked: VersionedLimit): VersionedLimit {
-    const own = options.limitOf(asked.account);
-    return own !== undefined && own.version >= asked.version ? own : asked;
+  /** The limit of the newer configuration. */
+  function newerLimit(requested: VersionedLimit): VersionedLimit {
+    const own = options.limitOf(requested.account);
+    return own !== undefined && own.version >= requested.version
+      ? own
+      : requested;
   }
 
-  function takeHere(asked: VersionedLimit): QuotaAnswer {
-    return checkedPool().take(newerLimit(asked), timer.now());
+  function takeLocally(requested: VersionedLimit): QuotaAnswer {
+    return checkedPool().take(newerLimit(requested), timer.now());
   }
 
   function* takeFrom(
-    keeper: QuotaPeer,
-    asked: VersionedLimit,
+    coordinator: QuotaPeer,
+    requested: VersionedLimit,
   ): Task<QuotaAnswer> {
-    if (keeper.proxy === self.proxy) {
-      return takeHere(asked);
+    if (coordinator.proxy === self.proxy) {
+      return takeLocally(requested);
     }
     const reply = yield* waitFor(
-      options.request(keeper, quotaTake, asked, REQUEST_TIMEOUT),
+      options.request(coordinator, quotaTake, requested, REQUEST_TIMEOUT_MS),
     );
     return reply.ok
       ? reply.val
-      : {kind: 'refused', retryAfter: UNANSWERED_RETRY_AFTER};
+      : {kind: 'refused', retryAfter: UNANSWERED_RETRY_AFTER_MS};
   }
 
-  /** Callers that are refused without asking don't come back together. */
-  function spread(retryAfter: Milliseconds): Milliseconds {
+  /** Keeps callers that are refused without a request from retrying together. */
+  function addJitter(retryAfter: Milliseconds): Milliseconds {
     return retryAfter * (1 + random.fraction());
   }
 
-  /** Asks one keeper, unless it said when to come back. */
-  function* tryKeeper(
-    keeper: QuotaPeer,
-    asked: VersionedLimit,
+  /** Requests an operation from one coordinator, unless it is in backoff. */
+  function* tryCoordinator(
+    coordinator: QuotaPeer,
+    requested: VersionedLimit,
   ): Task<QuotaAnswer> {
-    const key = `${keeper.proxy} ${asked.account}`;
-    const known = full.get(key);
+    const key = `${coordinator.proxy} ${requested.account}`;
+    const known = exhausted.get(key);
     if (known !== undefined && timer.now() < known.until) {
-      return {kind: 'refused', retryAfter: spread(known.retryAfter)};
+      return {kind: 'refused', retryAfter: addJitter(known.retryAfter)};
     }
-    const answer = yield* takeFrom(keeper, asked);
+    const answer = yield* takeFrom(coordinator, requested);
     if (answer.kind === 'refused') {
-      const pause = Math.min(answer.retryAfter, LONGEST_PAUSE);
-      full.set(key, {until: timer.now() + pause, ...answer});
+      const backoff = Math.min(answer.retryAfter, MAXIMUM_BACKOFF_MS);
+      exhausted.set(key, {until: timer.now() + backoff, ...answer});
     } else {
-      full.delete(key);
+      exhausted.delete(key);
     }
     return answer;
   }
 
   function* take(account: string): Task<QuotaAnswer> {
-    const asked = options.limitOf(account);
-    if (asked === undefined) {
+    const requested = options.limitOf(account);
+    if (requested === undefined) {
       return GRANTED;
     }
-    const {home, others} = keepers();
+    const {home, others} = coordinators();
     let retryAfter = Infinity;
-    for (const keeper of [home, ...others]) {
-      const answer = yield* tryKeeper(keeper, asked);
+    for (const coordinator of [home, ...others]) {
+      const answer = yield* tryCoordinator(coordinator, requested);
       if (answer.kind === 'granted') {
         return answer;
       }
@@ -256,41 +272,45 @@
     return {kind: 'refused', retryAfter};
   }
 
-  function chargeHere(asked: VersionedLimit, count: number): void {
-    checkedPool().charge(newerLimit(asked), count, timer.now());
+  function chargeLocally(limit: VersionedLimit, count: number): void {
+    checkedPool().charge(newerLimit(limit), count, timer.now());
   }
 
   function charge(account: string, count: number): void {
-    const asked = options.limitOf(account);
-    if (asked === undefined || count <= 0) {
+    const limit = options.limitOf(account);
+    if (limit === undefined || count <= 0) {
       return;
     }
-    const {home} = keepers();
+    const {home} = coordinators();
     if (home.proxy === self.proxy) {
-      chargeHere(asked, count);
+      chargeLocally(limit, count);
     } else {
-      const message = {...asked, count};
-      void options.request(home, quotaCharge, message, REQUEST_TIMEOUT);
+      const message = {...limit, count};
+      void options.request(home, quotaCharge, message, REQUEST_TIMEOUT_MS);
     }
   }
 
-  runtime.spawn('lend quota', keepLending());
+  runtime.spawn('lend quota', keepRenewingLease());
   return {
     take,
     charge,
     serve(handlers) {
       handlers
-        .handle(quotaLend, ({reading, ...loan}) => {
+        .handle(quotaLend, ({reading, ...lease}) => {
           const now = timer.now();
-          if (reading?.process === process()) {
-            const until = reading.time + LOAN_TIME;
-            checkedPool().lend({...loan, until}, now);
+          if (reading?.process === processId()) {
+            const until = reading.time + LEASE_DURATION_MS;
+            checkedPool().addLease({...lease, until}, now);
           }
-          return settledFuture(Ok({reading: {process: process(), time: now}}));
+          return settledFuture(
+            Ok({reading: {process: processId(), time: now}}),
+          );
         })
-        .handle(quotaTake, asked => settledFuture(Ok(takeHere(asked))))
-        .handle(quotaCharge, asked => {
-          chargeHere(asked, asked.count);
+        .handle(quotaTake, requested =>
+          settledFuture(Ok(takeLocally(requested))),
+        )
+        .handle(quotaCharge, requested => {
+          chargeLocally(requested, requested.count);
           return settledFuture(Ok({}));
         });
     },
--- a/packages/accounts/src/key_digest.ts
+++ b/packages/accounts/src/key_digest.ts
@@ -1,10 +1,10 @@
-/** Keys of client accounts are kept and compared as digests. */
+/** Digests by which the keys of client accounts are stored and compared. */
 import {createHash} from 'node:crypto';
 
-/** Bytes kept of a digest: enough that no two keys are ever taken for one. */
+/** Digests are truncated to 128 bits, which makes collisions negligible. */
 const DIGEST_BYTES = 16;
 
-/** Digest of a key, given as the bytes that were sent. */
+/** Base64url digest of a key's bytes. */
 export function digestKey(key: Uint8Array): string {
   const digest = createHash('sha256').update(key).digest();
   return digest.subarray(0, DIGEST_BYTES).toString('base64url');
--- a/packages/accounts/src/part_lease.ts
+++ b/packages/accounts/src/part_lease.ts
@@ -1,69 +1,71 @@
 /**
- * A proxy's own part of all quotas, and which proxy it is lent to. Without input and
- * output.
+ * Lease of a proxy's own share of all quotas to one quota coordinator. Does no I/O.
  *
- * Fault pattern: a message that tells of the loan is held back for seconds, or the
- * borrower is lost while it counts. The part is never counted in two places: a loan
- * ends by the borrower's own clock, of which this proxy knows a reading, and it is
- * lent anew only when that time has certainly passed.
+ * Fault pattern: the message that grants a lease is delayed for seconds, or the
+ * coordinator is disconnected while it uses the share. Two coordinators never use
+ * the share at the same time: a lease expires by the clock of its coordinator,
+ * counted from a reading known to this proxy, and another lease is granted only
+ * after that time has certainly passed.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** A borrower's reading of its clock. */
+/** A coordinator's reading of its monotonic clock. */
 export interface ClockReading {
-  /** Drawn by the borrower's process: clocks of two processes don't compare. */
+  /** Random id of the process; clocks of two processes are not comparable. */
   readonly process: string;
   readonly time: Milliseconds;
 }
 
-/** What a borrower is told: a loan, or without a reading a question for one. */
-export interface LoanOffer {
+/** A lease offered to a coordinator, or a request for its clock reading. */
+export interface LeaseOffer {
+  /** The lease counts from this reading; undefined to request a reading. */
   readonly reading: ClockReading | undefined;
 }
 
-/** Where the own part is. */
-export interface PartLease {
-  /** Undefined while the part is with another borrower. */
-  offerTo(borrower: string, now: Milliseconds): LoanOffer | undefined;
-  /** A borrower told its clock; `receivedAt` is by this proxy's. */
+/** Lease of the own share. */
+export interface ShareLease {
+  /** Undefined while another coordinator may hold the lease. */
+  offerTo(coordinator: string, now: Milliseconds): LeaseOffer | undefined;
+  /** Records a coordinator's reading; `receivedAt` is of this proxy's clock. */
   noteReading(
-    borrower: string,
+    coordinator: string,
     reading: ClockReading,
     receivedAt: Milliseconds,
   ): void;
 }
 
-/** A loan ends so long after the clock reading that it was offered with. */
-export const LOAN_TIME: Milliseconds = 1600;
+/** Counted from the clock reading that the lease was offered with. */
+export const LEASE_DURATION_MS: Milliseconds = 1600;
 
 interface KnownReading {
-  readonly borrower: string;
+  readonly coordinator: string;
   readonly reading: ClockReading;
   readonly receivedAt: Milliseconds;
 }
 
-/** Creates a lease that is with nobody. */
-export function createPartLease(): PartLease {
+/** Creates a lease that is not granted. */
+export function createShareLease(): ShareLease {
   let known: KnownReading | undefined;
-  let lentTo = '';
-  let lentUntil: Milliseconds = -Infinity;
+  let grantedTo = '';
+  let grantedUntil: Milliseconds = -Infinity;
 
   return {
-    offerTo(borrower, now) {
-      if (borrower !== lentTo && now < lentUntil) {
+    offerTo(coordinator, now) {
+      if (coordinator !== grantedTo && now < grantedUntil) {
         return undefined;
       }
       const isKnown =
-        known?.borrower === borrower && now < known.receivedAt + LOAN_TIME;
+        known?.coordinator === coordinator &&
+        now < known.receivedAt + LEASE_DURATION_MS;
       if (known === undefined || !isKnown) {
         return {reading: undefined};
       }
-      lentTo = borrower;
-      lentUntil = known.receivedAt + LOAN_TIME;
+      grantedTo = coordinator;
+      grantedUntil = known.receivedAt + LEASE_DURATION_MS;
       return {reading: known.reading};
     },
-    noteReading(borrower, reading, receivedAt) {
-      known = {borrower, reading, receivedAt};
+    noteReading(coordinator, reading, receivedAt) {
+      known = {coordinator, reading, receivedAt};
     },
   };
 }
--- a/packages/accounts/src/quota_messages.ts
+++ b/packages/accounts/src/quota_messages.ts
@@ -1,27 +1,30 @@
-/** Messages by which proxies lend their parts of quotas and count together. */
+/** Messages for leasing shares of quotas and for counting operations. */
 import {defineMethod} from '@kelpstep/protocol';
 import {z} from 'zod';
 
 const clockReadingSchema = z.object({process: z.string(), time: z.number()});
 
-/** Lends the sender's part of all quotas; without a reading it asks for one. */
+/**
+ * Leases the sender's share of all quotas to the receiver, counted from `reading`.
+ * Without a reading it only requests one.
+ */
 export const quotaLend = defineMethod(
   'quota.lend',
   z.object({
     lender: z.string(),
-    /** From 0 to 1. */
+    /** The share, from 0 to 1. */
     part: z.number().min(0).max(1),
-    /** The sender's process, until its first loan was taken. */
+    /** Id of the sender's process, until its first lease is granted. */
     startOf: z.string().optional(),
     reading: clockReadingSchema.optional(),
   }),
   z.object({reading: clockReadingSchema}),
 );
 
-/** An account's limit, and the version of the configuration that says so. */
+/** An account's limit, and the version of the configuration that defines it. */
 const versionedLimitSchema = z.object({
   account: z.string(),
-  /** Operations a second. */
+  /** Operations per second. */
   rate: z.number().nonnegative(),
   burst: z.number().nonnegative(),
   version: z.number(),
@@ -36,14 +39,14 @@
 ]);
 export type QuotaAnswer = Readonly<z.infer<typeof quotaAnswerSchema>>;
 
-/** Asks whether an operation of an account may run; it is counted if so. */
+/** Requests an operation of an account, which is counted if granted. */
 export const quotaTake = defineMethod(
   'quota.take',
   versionedLimitSchema,
   quotaAnswerSchema,
 );
 
-/** Counts what has run beyond what was granted. */
+/** Counts operations that ran without being granted. */
 export const quotaCharge = defineMethod(
   'quota.charge',
   versionedLimitSchema.extend({count: z.number().int().positive()}),
--- a/packages/accounts/src/quota_pool.ts
+++ b/packages/accounts/src/quota_pool.ts
@@ -1,147 +1,148 @@
 /**
- * Counts what client accounts ask, against the part of their quotas that other
- * proxies have lent to this one. Without input and output; `now` is always the
- * monotonic time of this process.
+ * Token buckets of client accounts, filled in proportion to the share of all
+ * quotas that is leased to this proxy. Does no I/O; `now` is always the monotonic
+ * time of this process.
  *
- * Load pattern: one account sends many times its quota through all proxies, while
- * some of them don't reach the others. What is granted in any span of time is at
- * most the burst and the rate over the span, times the lent part of the quota.
+ * Load pattern: one account sends many times its quota through all proxies during
+ * a network partition. In any time span, a pool grants at most the burst plus the
+ * rate over the span, multiplied by the leased share.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {QuotaLimit} from './account_directory';
 import type {QuotaAnswer, VersionedLimit} from './quota_messages';
 
-/** A proxy's part of all quotas, as it lends it. */
-export interface LentPart {
+/** A proxy's share of all quotas, as leased to this proxy. */
+export interface LeasedShare {
+  /** Name of the proxy that grants the lease. */
   readonly lender: string;
-  /** From 0 to 1. */
+  /** The share, from 0 to 1. */
   readonly part: number;
-  /** Time at which the loan ends. */
+  /** Time at which the lease expires. */
   readonly until: Milliseconds;
-  /** Set if the lender's process has just started and lends for the first time. */
+  /** Process of the lender; set until its first lease is granted. */
   readonly startOf?: string | undefined;
 }
 
-/** Counts for all accounts; of two limits of one account the newer is in force. */
+/** Buckets of all accounts; the newest known limit of an account applies. */
 export interface QuotaPool {
-  lend(loan: LentPart, now: Milliseconds): void;
-  /** Part of all quotas that is lent now. */
+  addLease(lease: LeasedShare, now: Milliseconds): void;
+  /** Share of all quotas that is leased now, from 0 to 1. */
   lentPart(now: Milliseconds): number;
-  /** Counts one operation if the account may have it run. */
+  /** Grants and counts one operation, or refuses it. */
   take(limit: VersionedLimit, now: Milliseconds): QuotaAnswer;
-  /** Counts what has run beyond what was granted. */
+  /** Counts operations that ran without being granted. */
   charge(limit: VersionedLimit, count: number, now: Milliseconds): void;
-  /** Forgets all that was lent: the clock may have stood still. */
+  /** Drops all leases and buckets, after the process was suspended. */
   reset(now: Milliseconds): void;
 }
 
-interface Loan {
+interface Lease {
   readonly part: number;
   readonly until: Milliseconds;
 }
 
 interface Bucket {
   limit: VersionedLimit;
-  /** Operations that may run at once; below zero after one too many. */
+  /** Operations that may run now; negative after granting or charging too many. */
   tokens: number;
-  /** `lentTime` when the tokens were counted last. */
-  countedAt: number;
-  /** `startedParts` then. */
-  startedParts: number;
-  /** When the last caller that was refused is to come back. */
-  promisedUntil: Milliseconds;
+  /** `leasedTime` at the last refill. */
+  refilledAt: number;
+  /** `startedShares` at the last refill. */
+  startedShares: number;
+  /** When the last refused caller is to retry. */
+  lastRetryAt: Milliseconds;
 }
 
-/** Callers aren't sent away for longer: the quota may be raised meanwhile. */
-const LONGEST_RETRY_AFTER: Milliseconds = 2000;
-const SECOND: Milliseconds = 1000;
+/** Callers retry within this time, as the quota may be raised meanwhile. */
+const MAXIMUM_RETRY_AFTER_MS: Milliseconds = 2000;
+const SECOND_MS: Milliseconds = 1000;
 
-/** What a pool is made of. */
+/** Options of a pool. */
 export interface QuotaPoolOptions {
   /**
-   * Operations that an account may have run beyond its limit when all proxies start
-   * at once, and callers come back together. Each process that starts brings its part
-   * of them, once.
+   * Operations allowed beyond an account's limit when all proxies start at once
+   * and their callers return together. Each starting process adds its share of
+   * this allowance once.
    */
   startAllowance(limit: QuotaLimit): number;
 }
 
-/** Creates a pool to which nothing is lent. */
+/** Creates a pool without leases. */
 export function createQuotaPool(options: QuotaPoolOptions): QuotaPool {
-  const loans = new Map<string, Loan>();
+  const leases = new Map<string, Lease>();
   const startedProcesses = new Map<string, string>();
   const buckets = new Map<string, Bucket>();
-  let lentPart = 0;
-  /** The lent part summed up over time. */
-  let lentTime = 0;
-  /** Parts of processes that started, summed up. */
-  let startedParts = 0;
-  let countedUntil: Milliseconds = -Infinity;
+  let leasedShare = 0;
+  /** Integral of the leased share over time, in milliseconds. */
+  let leasedTime = 0;
+  /** Sum of the shares of processes that started. */
+  let startedShares = 0;
+  let accruedUntil: Milliseconds = -Infinity;
   let nextExpiry: Milliseconds = Infinity;
 
-  function count(until: Milliseconds): void {
-    if (Number.isFinite(countedUntil)) {
-      lentTime += lentPart * Math.max(0, until - countedUntil);
+  function accrueLeasedTime(until: Milliseconds): void {
+    if (Number.isFinite(accruedUntil)) {
+      leasedTime += leasedShare * Math.max(0, until - accruedUntil);
     }
-    countedUntil = Math.max(countedUntil, until);
+    accruedUntil = Math.max(accruedUntil, until);
   }
 
-  function sumUp(): void {
+  function updateLeasedShare(): void {
     let sum = 0;
     nextExpiry = Infinity;
-    for (const {part, until} of loans.values()) {
+    for (const {part, until} of leases.values()) {
       sum += part;
       nextExpiry = Math.min(nextExpiry, until);
     }
-    if (sum !== lentPart) {
-      // What was saved up is bounded by what was lent then, and is lent now: the
-      // rest may be saved up elsewhere.
+    if (sum !== leasedShare) {
+      // Refilled before and after the change: saved tokens are bounded by both
+      // shares, because the remainder may be saved by another coordinator.
       buckets.forEach(refill);
-      lentPart = sum;
+      leasedShare = sum;
       buckets.forEach(refill);
     }
   }
 
-  function expire(): void {
-    for (const [lender, {until}] of loans) {
+  function expireLeases(): void {
+    for (const [lender, {until}] of leases) {
       if (until <= nextExpiry) {
-        loans.delete(lender);
+        leases.delete(lender);
       }
     }
-    sumUp();
+    updateLeasedShare();
   }
 
   function advance(now: Milliseconds): void {
     while (nextExpiry <= now) {
-      count(nextExpiry);
-      expire();
+      accrueLeasedTime(nextExpiry);
+      expireLeases();
     }
-    count(now);
+    accrueLeasedTime(now);
   }
 
   function refill(bucket: Bucket): void {
     const {rate, burst} = bucket.limit;
-    const gained = (rate * (lentTime - bucket.countedAt)) / SECOND;
-    const started = startedParts - bucket.startedParts;
+    const accrued = (rate * (leasedTime - bucket.refilledAt)) / SECOND_MS;
+    const started = startedShares - bucket.startedShares;
     const allowed = started * options.startAllowance(bucket.limit);
-    const tokens = bucket.tokens + gained + allowed;
-    bucket.tokens = Math.min(burst * lentPart, tokens);
-    bucket.countedAt = lentTime;
-    bucket.startedParts = startedParts;
+    const tokens = bucket.tokens + accrued + allowed;
+    bucket.tokens = Math.min(burst * leasedShare, tokens);
+    bucket.refilledAt = leasedTime;
+    bucket.startedShares = startedShares;
   }
 
-  function noteStart({lender, part, startOf}: LentPart): void {
+  function recordStart({lender, part, startOf}: LeasedShare): void {
     if (startOf !== undefined && startedProcesses.get(lender) !== startOf) {
       startedProcesses.set(lender, startOf);
-      startedParts += part;
+      startedShares += part;
     }
   }
 
-  /** A higher burst can be used at once, and no more than a lower one. */
-  function takeLimit(bucket: Bucket, limit: VersionedLimit): void {
-    const added = Math.max(0, limit.burst - bucket.limit.burst) * lentPart;
-    bucket.tokens = Math.min(limit.burst * lentPart, bucket.tokens + added);
+  /** A higher burst is available at once; saved tokens are cut to a lower one. */
+  function applyLimit(bucket: Bucket, limit: VersionedLimit): void {
+    const added = Math.max(0, limit.burst - bucket.limit.burst) * leasedShare;
+    bucket.tokens = Math.min(limit.burst * leasedShare, bucket.tokens + added);
     bucket.limit = limit;
   }
 
@@ -150,47 +151,47 @@
     const bucket = buckets.get(account) ?? {
       limit,
       tokens: 0,
-      countedAt: 0,
-      startedParts: 0,
-      promisedUntil: -Infinity,
+      refilledAt: 0,
+      startedShares: 0,
+      lastRetryAt: -Infinity,
     };
     buckets.set(account, bucket);
     refill(bucket);
     if (limit.version > bucket.limit.version) {
-      takeLimit(bucket, limit);
+      applyLimit(bucket, limit);
     }
     return bucket;
   }
 
-  /** Callers that are refused come back one after the other, as tokens do. */
+  /** Spreads the retries of refused callers at the rate of the tokens. */
   function refuse(bucket: Bucket, now: Milliseconds): QuotaAnswer {
-    const rate = bucket.limit.rate * lentPart;
+    const rate = bucket.limit.rate * leasedShare;
     if (rate === 0) {
-      return {kind: 'refused', retryAfter: LONGEST_RETRY_AFTER};
+      return {kind: 'refused', retryAfter: MAXIMUM_RETRY_AFTER_MS};
     }
-    const tokenTime = SECOND / rate;
-    const firstToken = now - bucket.tokens * tokenTime;
-    const promised = Math.max(bucket.promisedUntil, firstToken) + tokenTime;
-    bucket.promisedUntil = Math.min(promised, now + LONGEST_RETRY_AFTER);
-    return {kind: 'refused', retryAfter: bucket.promisedUntil - now};
+    const tokenTime = SECOND_MS / rate;
+    const nextTokenAt = now - bucket.tokens * tokenTime;
+    const retryAt = Math.max(bucket.lastRetryAt, nextTokenAt) + tokenTime;
+    bucket.lastRetryAt = Math.min(retryAt, now + MAXIMUM_RETRY_AFTER_MS);
+    return {kind: 'refused', retryAfter: bucket.lastRetryAt - now};
   }
 
   return {
-    lend(loan, now) {
-      const {lender, part, until} = loan;
+    addLease(lease, now) {
+      const {lender, part, until} = lease;
       advance(now);
-      loans.set(lender, {part, until});
-      sumUp();
-      noteStart(loan);
+      leases.set(lender, {part, until});
+      updateLeasedShare();
+      recordStart(lease);
     },
     lentPart(now) {
       advance(now);
-      return lentPart;
+      return leasedShare;
     },
     take(limit, now) {
       advance(now);
       const bucket = bucketOf(limit);
-      // A part of a token is rounded up: small quotas would never be used.
+      // A fraction of a token counts as one, or small shares would grant nothing.
       if (bucket.tokens <= 0) {
         return refuse(bucket, now);
       }
@@ -202,12 +203,12 @@
       bucketOf(limit).tokens -= charged;
     },
     reset(now) {
-      loans.clear();
+      leases.clear();
       buckets.clear();
-      sumUp();
-      lentTime = 0;
-      startedParts = 0;
-      countedUntil = now;
+      updateLeasedShare();
+      leasedTime = 0;
+      startedShares = 0;
+      accruedUntil = now;
     },
   };
 }
--- a/packages/accounts/src/start_allowance.ts
+++ b/packages/accounts/src/start_allowance.ts
@@ -1,22 +1,22 @@
-/** How far quotas may be exceeded while all proxies start. */
+/** Allowance by which quotas may be exceeded while all proxies start. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {QuotaLimit} from './account_directory';
 
-/** How quotas are judged: over any span of a window's length. */
+/** Tolerated excess over a quota in any time span of the window's length. */
 export interface QuotaTolerance {
   readonly window: Milliseconds;
-  /** Share of the limit that may be exceeded. */
+  /** Tolerated excess as a ratio of the limit. */
   readonly overage: number;
-  /** Operations that may be exceeded beside it. */
+  /** Number of operations tolerated in addition. */
   readonly slack: number;
 }
 
-/** Of the tolerance; what is on its way and a second start need the rest. */
-const START_SHARE = 0.5;
-const SECOND: Milliseconds = 1000;
+/** Part of the tolerance; requests in flight and a second start use the rest. */
+const START_ALLOWANCE_RATIO = 0.5;
+const SECOND_MS: Milliseconds = 1000;
 
-/** Creates the allowance within a tolerance; none without any. */
+/** Creates an allowance within the tolerance; it is 0 without a tolerance. */
 export function createStartAllowance(
   tolerance: QuotaTolerance | undefined,
 ): (limit: QuotaLimit) => number {
@@ -25,7 +25,7 @@
   }
   const {window, overage, slack} = tolerance;
   return ({rate, burst}) => {
-    const limit = (rate * window) / SECOND + burst;
-    return START_SHARE * (overage * limit + slack);
+    const limit = (rate * window) / SECOND_MS + burst;
+    return START_ALLOWANCE_RATIO * (overage * limit + slack);
   };
 }
