--- a/packages/accounts/__tests__/part_lease.spec.ts
+++ b/packages/accounts/__tests__/share_lease.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {LEASE_DURATION_MS, createShareLease} from '../src/part_lease';
+import {LEASE_DURATION_MS, createShareLease} from '../src/share_lease';
 
 const READING = {process: 'p1', time: 500};
 
--- a/packages/accounts/src/create_quota.ts
+++ b/packages/accounts/src/create_quota.ts
@@ -24,7 +24,7 @@
   chooseCoordinators,
 } from './choose_coordinators';
 import type {QuotaLimit} from './account_directory';
-import {LEASE_DURATION_MS, createShareLease} from './part_lease';
+import {LEASE_DURATION_MS, createShareLease} from './share_lease';
 import {
   type QuotaAnswer,
   type VersionedLimit,
