--- a/packages/statements/__tests__/session_settings.spec.ts
+++ b/packages/statements/__tests__/session_settings.spec.ts
@@ -23,7 +23,7 @@
   {noNullPrototype: true},
 );
 
-/** What a session does before one of its statements. */
+/** Settings that a session changes before one of its statements. */
 const steps = fc.array(
   fc.record({
     session: fc.integer({min: 0, max: 3}),
@@ -35,7 +35,7 @@
   {maxLength: 40},
 );
 
-/** A connection as a target keeps it. */
+/** Applies requests to a target's view of a connection. */
 function applyAtTarget(
   target: SessionSettings,
   requests: readonly TargetRequest[],
@@ -51,7 +51,7 @@
 }
 
 describe('sessions that share a connection', () => {
-  test('each find their own values and shapes on it', () => {
+  test('see only their own values and shapes', () => {
     fc.assert(
       fc.property(steps, operations => {
         const sessions = Array.from({length: 4}, createSessionSettings);
@@ -72,8 +72,8 @@
           applyAtTarget(target, requests);
           expect(target.values).toEqual(session.values);
           if (shape !== undefined) {
-            const held = target.prepared.get(sharedName(shape));
-            expect(held).toEqual(shape);
+            const prepared = target.prepared.get(sharedName(shape));
+            expect(prepared).toEqual(shape);
           }
         }
       }),
@@ -92,7 +92,7 @@
     expect(planDifference(options)).toEqual([]);
   });
 
-  test('give different shapes different names', () => {
+  test('use different names for different shapes', () => {
     fc.assert(
       fc.property(shapes, shapes, (left: PreparedShape, right) => {
         const isSame =
--- a/packages/statements/index.ts
+++ b/packages/statements/index.ts
@@ -1,4 +1,4 @@
-/** Statements, answers, session settings and how connections are shared. */
+/** Statements, answers, session settings and target connections. */
 export * from './src/answer';
 export * from './src/session_settings';
 export * from './src/session_statement';
--- a/packages/statements/src/answer.ts
+++ b/packages/statements/src/answer.ts
@@ -1,14 +1,14 @@
-/** Answers to statements, from targets and to callers. */
+/** Answers to statements, sent by targets to the proxy and by it to callers. */
 import type {LogPosition} from '@kelpstep/protocol';
 
-/** What an error of a target or to a caller says about the statement. */
+/** Meaning of an error for the statement that it answers. */
 export interface ErrorMeaning {
-  /** True if the statement certainly had no effect and won't have one. */
+  /** True if the statement certainly has had no effect and will have none. */
   readonly notRun: boolean;
   readonly meaning: string;
 }
 
-/** All errors of statement sessions by name. */
+/** Errors of statement sessions by name. */
 export const STATEMENT_ERRORS = {
   busy: {notRun: true, meaning: 'No room to run it now.'},
   lagging: {notRun: true, meaning: 'The log lacks the wanted position.'},
@@ -29,16 +29,16 @@
 /** Name of an error of statement sessions. */
 export type StatementErrorName = keyof typeof STATEMENT_ERRORS;
 
-/** An error with a text for people. */
+/** An error with a text for users. */
 export interface StatementError {
   readonly name: StatementErrorName;
   readonly text: string;
 }
 
-/** Where a session stands: outside a transaction, in one, in a failed one. */
+/** State of a session: outside a transaction, inside one, or in a failed one. */
 export type TransactionState = 'idle' | 'open' | 'failed';
 
-/** A whole answer to one statement. */
+/** The complete answer to one statement. */
 export interface StatementAnswer {
   readonly rows: readonly string[];
   /** The target's proof that it ran the statement; empty for local answers. */
@@ -49,12 +49,12 @@
   readonly position: LogPosition | undefined;
 }
 
-/** An answer that the proxy gives itself. */
+/** An empty answer by the proxy itself. */
 export function localAnswer(state: TransactionState): StatementAnswer {
   return {rows: [], receipt: '', error: undefined, state, position: undefined};
 }
 
-/** An answer that says why there is no other. */
+/** An error answer; its text defaults to the meaning of the error. */
 export function errorAnswer(
   name: StatementErrorName,
   state: TransactionState,
--- a/packages/statements/src/session_settings.ts
+++ b/packages/statements/src/session_settings.ts
@@ -1,36 +1,36 @@
 /**
- * Settings of sessions and what of them is applied to a connection. Sessions
- * share connections: right before a statement the difference is applied, in the
+ * Settings of sessions, and settings applied to connections. Sessions share
+ * connections: the difference is applied immediately before a statement, in the
  * same write, so that sharing costs no round trip.
  */
 import type {PrepareStatement, SessionStatement} from './session_statement';
 import type {TargetRequest} from './target_connection';
 
-/** What a session set, or what is applied to a connection. */
+/** Settings of a session, or settings applied to a connection. */
 export interface SessionSettings {
   readonly values: Map<string, string>;
   /** Prepared statements by name. */
   readonly prepared: Map<string, PreparedShape>;
 }
 
-/** What a prepared name stands for. */
+/** The statement behind a prepared name. */
 export type PreparedShape = Pick<PrepareStatement, 'access' | 'shape'>;
 
-/** Creates settings with nothing set. */
+/** Creates empty settings. */
 export function createSessionSettings(): SessionSettings {
   return {values: new Map(), prepared: new Map()};
 }
 
 /**
- * Name under which a shape is prepared on shared connections: sessions with
- * the same shape share it, whatever each of them calls it.
+ * Name under which a shape is prepared on shared connections. It depends on the
+ * shape only, so sessions share it whatever name each of them uses.
  */
 export function sharedName({access, shape}: PreparedShape): string {
   const prefix = access === 'read' ? 'r' : 'w';
   return `${prefix}_${Buffer.from(shape).toString('hex')}`;
 }
 
-/** Takes a local statement into a session's settings. */
+/** Applies a statement that sets or prepares something to the settings. */
 export function applyLocally(
   settings: SessionSettings,
   statement: SessionStatement,
@@ -45,8 +45,8 @@
   }
 }
 
-/** True if the connection holds no value that the session hasn't. */
-export function isWithin(
+/** True if every variable set on the connection is also set by the session. */
+export function hasOnlyValuesOf(
   applied: SessionSettings,
   session: SessionSettings,
 ): boolean {
@@ -58,38 +58,41 @@
   return true;
 }
 
-/** Values to set before a statement of this session; the fewer the better. */
+/** Cost of applying the session's settings to a connection; lower is better. */
 export function countDifferences(
   applied: SessionSettings,
   session: SessionSettings,
 ): number {
-  let differences = isWithin(applied, session) ? 0 : 1 + session.values.size;
+  let differences = hasOnlyValuesOf(applied, session)
+    ? 0
+    : 1 + session.values.size;
   for (const [name, value] of session.values) {
     differences += applied.values.get(name) === value ? 0 : 1;
   }
   return differences;
 }
 
-/** Most prepared names that a connection keeps; a reset drops them. */
-const MAXIMUM_PREPARED = 200;
+/** Prepared statements per connection; it is reset beyond this number. */
+const MAXIMUM_PREPARED_COUNT = 200;
 
-/** What a connection needs before a statement. */
+/** Options of a plan for applying a session's settings to a connection. */
 export interface DifferenceOptions {
   readonly applied: SessionSettings;
   readonly session: SessionSettings;
-  /** Shape of the statement that is about to run, if it is a prepared one. */
+  /** Shape of the next statement, if it is a prepared one. */
   readonly shape: PreparedShape | undefined;
-  /** Inside a transaction values only grow, so that no reset is needed. */
+  /** Transactions only add values, so no reset is needed inside one. */
   readonly isInTransaction: boolean;
 }
 
-/** Requests that bring a connection to the session's settings. */
+/** Plans the requests that apply the session's settings to a connection. */
 export function planDifference(options: DifferenceOptions): TargetRequest[] {
   const {applied, session, shape, isInTransaction} = options;
   const requests: TargetRequest[] = [];
   const mustReset =
     !isInTransaction &&
-    (!isWithin(applied, session) || applied.prepared.size > MAXIMUM_PREPARED);
+    (!hasOnlyValuesOf(applied, session) ||
+      applied.prepared.size > MAXIMUM_PREPARED_COUNT);
   if (mustReset) {
     requests.push({body: {kind: 'reset'}});
   }
@@ -107,7 +110,7 @@
   return requests;
 }
 
-/** Notes what these requests, once answered, have applied to a connection. */
+/** Records the settings that these requests apply to a connection. */
 export function noteApplied(
   applied: SessionSettings,
   requests: readonly TargetRequest[],
--- a/packages/statements/src/session_statement.ts
+++ b/packages/statements/src/session_statement.ts
@@ -1,8 +1,9 @@
-/** Statements of a caller's session, as decoded from any wire. */
+/** Statements of a caller's session, independent of the wire protocol. */
+
 /** Whether a prepared statement reads or writes. */
 export type Access = 'read' | 'write';
 
-/** Opens a transaction; a read-only one may run at a replica. */
+/** Begins a transaction; a read-only one may run on a replica. */
 export interface BeginStatement {
   readonly kind: 'begin';
   readonly readOnly: boolean;
@@ -26,14 +27,14 @@
   readonly data: string;
 }
 
-/** Sets a value of the session. */
+/** Sets a session variable. */
 export interface SetStatement {
   readonly kind: 'set';
   readonly name: string;
   readonly value: string;
 }
 
-/** Gives a name to a statement's shape, for this session. */
+/** Prepares a statement's shape under a name of the session. */
 export interface PrepareStatement {
   readonly kind: 'prepare';
   readonly name: string;
@@ -41,20 +42,20 @@
   readonly shape: string;
 }
 
-/** Runs a prepared statement; `parameters` is passed on as it came. */
+/** Runs a prepared statement; `parameters` is forwarded unchanged. */
 export interface ExecuteStatement {
   readonly kind: 'execute';
   readonly name: string;
   readonly parameters: string;
 }
 
-/** Forgets a prepared statement. */
+/** Removes a prepared statement. */
 export interface DeallocateStatement {
   readonly kind: 'deallocate';
   readonly name: string;
 }
 
-/** Anything that a caller may ask for. */
+/** Any statement of a caller. */
 export type SessionStatement =
   | BeginStatement
   | EndStatement
@@ -65,9 +66,9 @@
   | ExecuteStatement
   | DeallocateStatement;
 
-/** A caller's request: a statement under the caller's id for it. */
+/** A caller's request: a statement with the id that the caller gave it. */
 export interface CallerRequest {
   readonly id: string;
-  /** Undefined for a text that is no statement. */
+  /** Undefined if the text could not be parsed as a statement. */
   readonly statement: SessionStatement | undefined;
 }
--- a/packages/statements/src/target_connection.ts
+++ b/packages/statements/src/target_connection.ts
@@ -1,4 +1,4 @@
-/** Connections to targets of statement sessions; an adapter implements them. */
+/** Connections to targets of statement sessions, implemented by an adapter. */
 import type {LogPosition} from '@kelpstep/protocol';
 import type {Future, Milliseconds} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
@@ -6,70 +6,70 @@
 import type {StatementAnswer} from './answer';
 import type {SessionStatement} from './session_statement';
 
-/** Asks for nothing but clears the connection's settings. */
-export interface ResetOrder {
+/** Only clears the settings of the connection. */
+export interface ResetCommand {
   readonly kind: 'reset';
 }
 
-/** Asks how the target sees itself. */
-export interface StatusOrder {
+/** Requests the status of the target. */
+export interface StatusCommand {
   readonly kind: 'status';
 }
 
-/** Stops a replica from receiving, at a term above the newest. */
-export interface PauseOrder {
+/** Stops a replica from receiving, in a term above its newest one. */
+export interface PauseCommand {
   readonly kind: 'pause';
   readonly term: number;
 }
 
-/** Lets a paused replica receive again. */
-export interface ResumeOrder {
+/** Resumes receiving on a paused replica. */
+export interface ResumeCommand {
   readonly kind: 'resume';
 }
 
-/** Makes a primary of a lower term a replica. */
-export interface DemoteOrder {
+/** Demotes a primary of a lower term to a replica. */
+export interface DemoteCommand {
   readonly kind: 'demote';
   readonly term: number;
 }
 
-/** What the proxy itself asks of a target. */
+/** A command from the proxy itself to a target. */
 export type TargetOrder =
-  ResetOrder | StatusOrder | PauseOrder | ResumeOrder | DemoteOrder;
+  ResetCommand | StatusCommand | PauseCommand | ResumeCommand | DemoteCommand;
 
-/** One message to a target. */
+/** One request to a target. */
 export interface TargetRequest {
-  /** The caller's id; undefined for what the proxy asks itself. */
+  /** The caller's id; undefined for commands of the proxy itself. */
   readonly id?: string;
   readonly body: SessionStatement | TargetOrder;
-  /** The target refuses unless its log holds this position. */
+  /** The target refuses the request unless its log includes this position. */
   readonly after?: LogPosition;
 }
 
-/** How a target sees itself. */
+/** Status reported by a target. */
 export interface TargetStatus {
   readonly role: 'primary' | 'replica';
-  /** Term that it serves in. */
+  /** Current term of the target. */
   readonly term: number;
-  /** End of its log with what is received and not yet applied. */
+  /** End of its log, including entries received but not yet applied. */
   readonly received: LogPosition;
-  /** Highest term that it was told of. */
+  /** Highest term known to the target. */
   readonly termHeld: number;
 }
 
-/** Why a connection gave no answer. */
+/** Why a request on a connection was not answered. */
 export type ConnectionLoss = 'closed' | 'timed out';
 
-/** An open connection: requests are answered in order. */
+/** An open connection, which answers requests in order. */
 export interface TargetConnection {
-  /** Sends requests in one write; settles with all their answers. */
+  /** Sends requests in one write and settles with all their answers. */
   send(
     requests: readonly TargetRequest[],
     timeout: Milliseconds,
   ): Future<Result<readonly StatementAnswer[], ConnectionLoss>>;
   isOpen(): boolean;
   close(): void;
-  /** Called once when the connection has ended, by whichever side. */
+  /** `listener` is called once, when either side has closed the connection. */
   onClosed(listener: () => void): void;
 }
 
@@ -77,19 +77,20 @@
 export type OpenFailure =
   'refused' | 'timed out' | 'misrouted' | 'tooManyConnections';
 
-/** Where a target is and what it must say it is. */
+/** Address of a target, and the identity that it must report. */
 export interface TargetAddress {
   readonly address: string;
   readonly group: string;
   readonly target: string;
 }
 
-/** Who a connection is opened for; undefined: the proxy itself. */
+/** User that a connection is opened for; undefined for the proxy itself. */
 export type ConnectionUser = string | undefined;
 
 /**
- * Opens a connection for one user alone, and settles when its start was answered. First requests go with the start,
- * in one write: their answers come a round trip earlier.
+ * Opens a connection for one user and settles when its start-up message was
+ * answered. `firstRequests` are sent in the same write as the start-up message,
+ * so their answers arrive a round trip earlier.
  */
 export type OpenTargetConnection = (
   target: TargetAddress,
@@ -98,7 +99,7 @@
   firstRequests?: readonly TargetRequest[],
 ) => Future<Result<OpenedConnection, OpenFailure>>;
 
-/** A new connection and the log's end that its start was answered with. */
+/** A new connection, with the log position reported at its start. */
 export interface OpenedConnection {
   readonly connection: TargetConnection;
   readonly position: LogPosition | undefined;
@@ -106,7 +107,7 @@
   readonly firstAnswers: readonly StatementAnswer[];
 }
 
-/** Reads the row that a status order is answered with. */
+/** Parses the answer to a status command; undefined if it is malformed. */
 export type ReadTargetStatus = (
   answer: StatementAnswer,
 ) => TargetStatus | undefined;
