--- a/packages/session/__tests__/token_codec.spec.ts
+++ b/packages/session/__tests__/token_codec.spec.ts
@@ -31,7 +31,7 @@
 }
 
 describe('a session token', () => {
-  test('gives back the session that it was made of', () => {
+  test('decodes to the session that it was encoded from', () => {
     check(
       fc.property(sessions, session => {
         const decoded = decodeToken(encodeToken(session)).unwrap();
@@ -40,7 +40,7 @@
     );
   });
 
-  test('is refused as a failure, never by a throw, for any other text', () => {
+  test('is refused with a failure, not an exception, for any other text', () => {
     const texts = fc.oneof(
       fc.string({maxLength: 200, unit: 'binary'}),
       fc.base64String({maxLength: 200}),
@@ -95,7 +95,7 @@
     );
   });
 
-  test('never outgrows its limit while it has room', () => {
+  test('stays within the maximum length while it has room', () => {
     const largest = {
       term: Number.MAX_SAFE_INTEGER,
       position: Number.MAX_SAFE_INTEGER,
@@ -112,7 +112,7 @@
     expect(hasRoom(session, 'g-0')).toEqual(true);
   });
 
-  test('keeps the higher position of each group when sessions join', () => {
+  test('keeps the higher position of each group when sessions are merged', () => {
     check(
       fc.property(sessions, sessions, (left, right) => {
         const merged = mergeSessions(left, right);
--- a/packages/session/index.ts
+++ b/packages/session/index.ts
@@ -1,3 +1,3 @@
-/** Session tokens. */
+/** Sessions and session tokens. */
 export * from './src/session';
 export * from './src/token_codec';
--- a/packages/session/src/session.ts
+++ b/packages/session/src/session.ts
@@ -1,14 +1,14 @@
-/** What a session has seen: the log position it depends on, per group. */
+/** Sessions: the log position that a session depends on, per group. */
 import {
   EMPTY_LOG_END,
   LogPosition,
   compareLogPositions,
 } from '@kelpstep/protocol';
 
-/** Log positions by group. Never changed; functions give new ones. */
+/** Log positions by group. Immutable; functions return new sessions. */
 export type Session = ReadonlyMap<string, LogPosition>;
 
-/** A session that has seen nothing. */
+/** A session that depends on no position. */
 export const EMPTY_SESSION: Session = new Map<string, LogPosition>();
 
 /** The position that a session depends on; the empty log's end by default. */
@@ -16,7 +16,7 @@
   return session.get(group) ?? EMPTY_LOG_END;
 }
 
-/** Adds what a session saw of a group; the higher position stays. */
+/** Adds a position seen in a group; the higher position is kept. */
 export function withPosition(
   session: Session,
   group: string,
@@ -28,7 +28,7 @@
   return new Map(session).set(group, seen);
 }
 
-/** Joins two sessions: the higher position of each group. */
+/** Merges two sessions, keeping the higher position of each group. */
 export function mergeSessions(left: Session, right: Session): Session {
   let merged = left;
   for (const [group, seen] of right) {
--- a/packages/session/src/token_codec.ts
+++ b/packages/session/src/token_codec.ts
@@ -1,9 +1,9 @@
 /**
- * Session tokens as text: base64url of
- * `version, (name length, name, term, position)..., CRC-32`, groups in rising
- * order of their names, numbers as variable-length integers. A session has
- * one encoding only; whatever differs from it is refused. The checksum finds
- * damage, not forgery: a forged token only makes its own caller wait.
+ * Encodes session tokens as text: base64url of
+ * `version, (name length, name, term, position)..., CRC-32`, with groups in
+ * ascending order of their names and numbers as variable-length integers. Each
+ * session has exactly one encoding; any other is refused. The checksum detects
+ * damage but not forgery: a forged token only makes its own caller wait.
  */
 import {
   Failure,
@@ -20,7 +20,7 @@
 const CHECKSUM_BYTES = 4;
 const MAXIMUM_INTEGER_BYTES = 8;
 const BASE64_CHARACTERS_PER_BYTE = 4 / 3;
-const MAXIMUM_BYTES = Math.floor(
+const MAXIMUM_TOKEN_BYTES = Math.floor(
   MAXIMUM_TOKEN_LENGTH / BASE64_CHARACTERS_PER_BYTE,
 );
 const GROUP_NAME = /^[a-z0-9][a-z0-9-]{0,62}$/;
@@ -30,15 +30,18 @@
 }
 
 function pushInteger(bytes: number[], value: number): void {
-  let rest = value;
-  while (rest >= 0x80) {
-    bytes.push((rest % 0x80) | 0x80);
-    rest = Math.floor(rest / 0x80);
+  let remaining = value;
+  while (remaining >= 0x80) {
+    bytes.push((remaining % 0x80) | 0x80);
+    remaining = Math.floor(remaining / 0x80);
   }
-  bytes.push(rest);
+  bytes.push(remaining);
 }
 
-/** Reads bytes in order; `undefined` past the end or for an odd number. */
+/**
+ * Reads bytes in order. An integer is `undefined` past the end, if it is not in
+ * its shortest form, or if it is not a safe integer.
+ */
 function createReader(bytes: Uint8Array) {
   let offset = 0;
 
@@ -53,8 +56,8 @@
       value += (byte & 0x7f) * factor;
       factor *= 0x80;
       if (byte < 0x80) {
-        const isShortest = byte > 0 || count === 0;
-        return isShortest && Number.isSafeInteger(value) ? value : undefined;
+        const isMinimal = byte > 0 || count === 0;
+        return isMinimal && Number.isSafeInteger(value) ? value : undefined;
       }
     }
     return undefined;
@@ -69,13 +72,16 @@
   return {readInteger, readText, isAtEnd: () => offset >= bytes.length};
 }
 
-function byName(left: [string, unknown], right: [string, unknown]): number {
+function compareNames(
+  left: [string, unknown],
+  right: [string, unknown],
+): number {
   return left[0] < right[0] ? -1 : 1;
 }
 
 function encodeBytes(session: Session): Buffer {
   const bytes: number[] = [TOKEN_VERSION];
-  for (const [group, {term, position}] of [...session].sort(byName)) {
+  for (const [group, {term, position}] of [...session].sort(compareNames)) {
     pushInteger(bytes, group.length);
     bytes.push(...Buffer.from(group, 'latin1'));
     pushInteger(bytes, term);
@@ -86,7 +92,7 @@
   return Buffer.concat([Buffer.from(bytes), checksum]);
 }
 
-/** Gives a session's token; the empty text for one that has seen nothing. */
+/** Encodes a session; the token of an empty session is the empty string. */
 export function encodeToken(session: Session): string {
   if (session.size === 0) {
     return '';
@@ -95,9 +101,9 @@
 }
 
 /**
- * True if the session's token stays within `MAXIMUM_TOKEN_LENGTH` whatever
- * positions come, also with `group` added. Ask before a request runs: its
- * answer must not be the first to find that the token has no room.
+ * True if the session's token fits `MAXIMUM_TOKEN_LENGTH` for all positions,
+ * also after adding `group`. Check this before a request runs, because its
+ * answer must not fail for lack of room in the token.
  */
 export function hasRoom(session: Session, group: string): boolean {
   if (session.size === 0) {
@@ -107,10 +113,10 @@
   for (const name of new Set([...session.keys(), group])) {
     bytes += 1 + name.length + 2 * MAXIMUM_INTEGER_BYTES;
   }
-  return bytes <= MAXIMUM_BYTES;
+  return bytes <= MAXIMUM_TOKEN_BYTES;
 }
 
-/** Gives `undefined` for bytes that the encoder doesn't make. */
+/** Decodes groups; `undefined` for bytes that the encoder never produces. */
 function readGroups(body: Uint8Array): Session | undefined {
   const reader = createReader(body);
   const session = new Map<string, LogPosition>();
@@ -131,7 +137,7 @@
   return session.size === 0 ? undefined : session;
 }
 
-/** Reads a token; `BAD_TOKEN` unless it is one that `encodeToken` gives. */
+/** Decodes a token; fails with `BAD_TOKEN` unless `encodeToken` produces it. */
 export function decodeToken(token: string): Result<Session, Failure> {
   if (token === '') {
     return Ok(EMPTY_SESSION);
@@ -149,7 +155,7 @@
     return badToken('The session token is damaged.');
   }
   const session = readGroups(body);
-  // Integers, order and base64 are each as the encoder makes them.
+  // Integers and order are checked while reading; base64url is checked here.
   if (session === undefined || bytes.toString('base64url') !== token) {
     return badToken('The session token is malformed.');
   }
