--- a/packages/accounts/__tests__/share_lease.spec.ts
+++ b/packages/accounts/__tests__/share_lease.spec.ts
@@ -51,7 +51,9 @@
   const CLOCKS = {b: 7000, c: -300};
   type Coordinator = keyof typeof CLOCKS;
 
-  /** Simulates one proxy and two coordinators; returns the leases they assume. */
+  /**
+   * Simulates one proxy and two coordinators; returns the leases they assume.
+   */
   function simulate(
     seed: number,
     missing: MissingGuard,
--- a/packages/accounts/src/choose_coordinators.ts
+++ b/packages/accounts/src/choose_coordinators.ts
@@ -1,8 +1,9 @@
 /**
  * Selects the proxies that coordinate the quotas of accounts. Does no I/O.
  *
- * There is one coordinator per area, so that most operations are counted nearby.
- * If a coordinator is disconnected, the others continue with their shares.
+ * There is one coordinator per area, so that most operations are counted
+ * nearby. While a coordinator is unreachable, the others continue with their
+ * shares.
  */
 
 /** A proxy that may be a quota coordinator. */
--- a/packages/accounts/src/create_quota.ts
+++ b/packages/accounts/src/create_quota.ts
@@ -1,8 +1,8 @@
 /**
  * Enforces the quotas of client accounts over all proxies together. Each proxy
  * leases its share of all quotas to one quota coordinator, and requests each
- * operation from the coordinators: first from its own, then from the others. The
- * shares add up to the whole quota, also during network partitions.
+ * operation from the coordinators: first from its own, then from the others.
+ * The shares add up to the whole quota, also during network partitions.
  */
 import type {Method} from '@kelpstep/protocol';
 import type {HandlerTable} from '@kelpstep/rpc';
@@ -80,8 +80,8 @@
 /** For an unresponsive coordinator: another one is chosen within this time. */
 const UNANSWERED_RETRY_AFTER_MS: Milliseconds = 300;
 /**
- * Longest time until an exhausted coordinator is requested again for an account.
- * Tokens that accrue beyond the burst in the meantime would be lost.
+ * Longest time until an exhausted coordinator is requested again for an
+ * account. Tokens that accrue beyond the burst in the meantime would be lost.
  */
 const MAXIMUM_BACKOFF_MS: Milliseconds = 200;
 const PROCESS_ID_LENGTH = 12;
@@ -95,7 +95,10 @@
 
 const GRANTED: QuotaAnswer = {kind: 'granted'};
 
-/** Starts leasing this proxy's share; sends nothing while no account has a limit. */
+/**
+ * Starts leasing this proxy's share; sends nothing while no account has a
+ * limit.
+ */
 export function createQuota(options: QuotaOptions): Quota {
   const {runtime, self} = options;
   const {timer, random} = runtime;
@@ -107,7 +110,9 @@
   /** Exhausted coordinators by `coordinator account`. */
   const exhausted = new Map<string, ExhaustedCoordinator>();
 
-  /** Created on first use, so that nothing is drawn at random without limits. */
+  /**
+   * Created on first use, so that nothing is drawn at random without limits.
+   */
   function processId(): string {
     knownProcessId ||= random.hexadecimal(PROCESS_ID_LENGTH);
     return knownProcessId;
@@ -130,8 +135,8 @@
   }
 
   /**
-   * True if the lease was granted. The first request to a coordinator only returns
-   * its clock reading.
+   * True if the lease was granted. The first request to a coordinator only
+   * returns its clock reading.
    */
   function* grantLease(coordinator: QuotaPeer, part: number): Task<boolean> {
     const offer = shareLease.offerTo(coordinator.proxy, timer.now());
@@ -230,7 +235,9 @@
       : {kind: 'refused', retryAfter: UNANSWERED_RETRY_AFTER_MS};
   }
 
-  /** Keeps callers that are refused without a request from retrying together. */
+  /**
+   * Keeps callers that are refused without a request from retrying together.
+   */
   function addJitter(retryAfter: Milliseconds): Milliseconds {
     return retryAfter * (1 + random.fraction());
   }
--- a/packages/accounts/src/quota_messages.ts
+++ b/packages/accounts/src/quota_messages.ts
@@ -5,8 +5,8 @@
 const clockReadingSchema = z.object({process: z.string(), time: z.number()});
 
 /**
- * Leases the sender's share of all quotas to the receiver, counted from `reading`.
- * Without a reading it only requests one.
+ * Leases the sender's share of all quotas to the receiver, counted from
+ * `reading`. Without a reading it only requests one.
  */
 export const quotaLend = defineMethod(
   'quota.lend',
--- a/packages/accounts/src/quota_pool.ts
+++ b/packages/accounts/src/quota_pool.ts
@@ -1,11 +1,11 @@
 /**
  * Token buckets of client accounts, filled in proportion to the share of all
- * quotas that is leased to this proxy. Does no I/O; `now` is always the monotonic
- * time of this process.
+ * quotas that is leased to this proxy. Does no I/O; `now` is always the
+ * monotonic time of this process.
  *
- * Load pattern: one account sends many times its quota through all proxies during
- * a network partition. In any time span, a pool grants at most the burst plus the
- * rate over the span, multiplied by the leased share.
+ * Load pattern: one account sends many times its quota through all proxies
+ * during a network partition. In any time span, a pool grants at most the burst
+ * plus the rate over the span, multiplied by the leased share.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
@@ -44,7 +44,9 @@
 
 interface Bucket {
   limit: VersionedLimit;
-  /** Operations that may run now; negative after granting or charging too many. */
+  /**
+   * Operations that may run now; negative after granting or charging too many.
+   */
   tokens: number;
   /** `leasedTime` at the last refill. */
   refilledAt: number;
@@ -139,7 +141,9 @@
     }
   }
 
-  /** A higher burst is available at once; saved tokens are cut to a lower one. */
+  /**
+   * A higher burst is available at once; saved tokens are cut to a lower one.
+   */
   function applyLimit(bucket: Bucket, limit: VersionedLimit): void {
     const added = Math.max(0, limit.burst - bucket.limit.burst) * leasedShare;
     bucket.tokens = Math.min(limit.burst * leasedShare, bucket.tokens + added);
@@ -191,7 +195,8 @@
     take(limit, now) {
       advance(now);
       const bucket = bucketOf(limit);
-      // A fraction of a token counts as one, or small shares would grant nothing.
+      // A fraction of a token counts as one, or small shares would grant
+      // nothing.
       if (bucket.tokens <= 0) {
         return refuse(bucket, now);
       }
--- a/packages/accounts/src/share_lease.ts
+++ b/packages/accounts/src/share_lease.ts
@@ -1,11 +1,12 @@
 /**
- * Lease of a proxy's own share of all quotas to one quota coordinator. Does no I/O.
+ * Lease of a proxy's own share of all quotas to one quota coordinator. Does no
+ * I/O.
  *
  * Fault pattern: the message that grants a lease is delayed for seconds, or the
- * coordinator is disconnected while it uses the share. Two coordinators never use
- * the share at the same time: a lease expires by the clock of its coordinator,
- * counted from a reading known to this proxy, and another lease is granted only
- * after that time has certainly passed.
+ * coordinator becomes unreachable while it uses the share. Two coordinators
+ * never use the share at the same time: a lease expires by the clock of its
+ * coordinator, counted from a reading known to this proxy, and another lease is
+ * granted only after that time has certainly passed.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
--- a/packages/accounts/src/start_allowance.ts
+++ b/packages/accounts/src/start_allowance.ts
@@ -12,7 +12,9 @@
   readonly slack: number;
 }
 
-/** Part of the tolerance; requests in flight and a second start use the rest. */
+/**
+ * Part of the tolerance; requests in flight and a second start use the rest.
+ */
 const START_ALLOWANCE_RATIO = 0.5;
 const SECOND_MS: Milliseconds = 1000;
 
--- a/packages/statements/src/answer.ts
+++ b/packages/statements/src/answer.ts
@@ -35,7 +35,9 @@
   readonly text: string;
 }
 
-/** State of a session: outside a transaction, inside one, or in a failed one. */
+/**
+ * State of a session: outside a transaction, inside one, or in a failed one.
+ */
 export type TransactionState = 'idle' | 'open' | 'failed';
 
 /** The complete answer to one statement. */
--- a/packages/statements/src/session_settings.ts
+++ b/packages/statements/src/session_settings.ts
@@ -30,7 +30,7 @@
   return `${prefix}_${Buffer.from(shape).toString('hex')}`;
 }
 
-/** Applies a statement that sets or prepares something to the settings. */
+/** Applies a set, prepare or deallocate statement to the settings. */
 export function applyLocally(
   settings: SessionSettings,
   statement: SessionStatement,
--- a/packages/targets/src/connection_shares.ts
+++ b/packages/targets/src/connection_shares.ts
@@ -1,13 +1,13 @@
 /**
- * Distribution of a target's connections over proxies. If there are more proxies
- * than the target has connections for, some are connection owners and forward the
- * statements of the others.
+ * Distribution of a target's connections over proxies. If there are more
+ * proxies than the target has connections for, some are connection owners and
+ * forward the statements of the others.
  */
 
 /**
- * Part of a target's connection limit that is distributed over proxies. A target
- * keeps the connections of instances that lost power for some seconds; the rest
- * of the limit lets the instances that replace them connect.
+ * Part of a target's connection limit that is distributed over proxies. A
+ * target keeps the connections of instances that lost power for some seconds;
+ * the rest of the limit lets the instances that replace them connect.
  */
 const USABLE_CONNECTION_RATIO = 0.64;
 /**
--- a/packages/targets/src/control_connection.ts
+++ b/packages/targets/src/control_connection.ts
@@ -23,8 +23,8 @@
 import type {SharedConnection} from './shared_connections';
 
 /**
- * Opening takes a round trip, and connection set-up in a slot of the target. The
- * target is considered unresponsive after this time.
+ * Opening takes a round trip, and connection set-up in a slot of the target.
+ * The target is considered unresponsive after this time.
  */
 const OPEN_TIMEOUT_MS: Milliseconds = 350;
 
--- a/packages/targets/src/group_positions.ts
+++ b/packages/targets/src/group_positions.ts
@@ -1,15 +1,16 @@
 /**
- * Proves how fresh a log position is. A sample (position, coveredAt) states that
- * the position covers every commit acknowledged before `coveredAt`.
+ * Proves how fresh a log position is. A sample (position, coveredAt) states
+ * that the position covers every commit acknowledged before `coveredAt`.
  *
  * Proof: the primary of term t was probed at or after `coveredAt` and its log
- * ended at the position, which therefore covers the commits of all terms up to t.
- * A commit of a later term needs a primary of that term and, with synchronous
- * replicas, a replica that received it. All other targets were probed at or after
- * `coveredAt` as well, and none showed a later term. If commits need such a
- * replica, one target may be unresponsive: the later primary or its replica is
- * then among the targets that answered. In this case the targets are probed for
- * the log that they received, not only for the log that they applied.
+ * ended at the position, which therefore covers the commits of all terms up to
+ * t. A commit of a later term needs a primary of that term and, with
+ * synchronous replicas, a replica that received it. All other targets were
+ * probed at or after `coveredAt` as well, and none showed a later term. If
+ * commits need such a replica, one target may be unresponsive: the later
+ * primary or its replica is then among the targets that answered. In this case
+ * the targets are probed for the log that they received, not only for the log
+ * that they applied.
  */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import type {TargetStatus} from '@kelpstep/statements';
@@ -56,7 +57,9 @@
   ): void;
   /** Discards the state of a target that was removed or restarted. */
   discard(target: string): void;
-  /** Discards all positions, statuses and samples after a process suspension. */
+  /**
+   * Discards all positions, statuses and samples after a process suspension.
+   */
   discardAll(): void;
   logOf(target: string): TargetLog | undefined;
   /** Clears the leader if it is this target, which reported another role. */
@@ -69,7 +72,9 @@
   lowestCovering(time: Milliseconds): LogPosition | undefined;
 }
 
-/** Retention of samples. Staleness bounds of routes are a few seconds at most. */
+/**
+ * Retention of samples. Staleness bounds of routes are a few seconds at most.
+ */
 const SAMPLE_RETENTION_MS: Milliseconds = 4000;
 /** Minimum distance of retained samples, which bounds their number. */
 const SAMPLE_INTERVAL_MS: Milliseconds = 50;
--- a/packages/targets/src/registration.ts
+++ b/packages/targets/src/registration.ts
@@ -25,6 +25,8 @@
   readonly group: string;
   /** Maximum number of connections that a target accepts from all proxies. */
   readonly connectionLimit: number;
-  /** Number of replicas that must receive a commit before it is acknowledged. */
+  /**
+   * Number of replicas that must receive a commit before it is acknowledged.
+   */
   readonly synchronousReplicas: number;
 }
--- a/packages/targets/src/shared_connections.ts
+++ b/packages/targets/src/shared_connections.ts
@@ -66,8 +66,8 @@
 }
 
 /**
- * Opening takes a round trip, and connection set-up takes tens of milliseconds on
- * the target. The target is considered unresponsive after this time.
+ * Opening takes a round trip, and connection set-up takes tens of milliseconds
+ * on the target. The target is considered unresponsive after this time.
  */
 const OPEN_TIMEOUT_MS: Milliseconds = 500;
 
@@ -76,7 +76,9 @@
  * seldom need their full shares at the same time.
  */
 const EXTRA_CONNECTION_COUNT = 1;
-/** Backoff of connections beyond the share after the target was at its limit. */
+/**
+ * Backoff of connections beyond the share after the target was at its limit.
+ */
 const LIMIT_BACKOFF_MS: Milliseconds = 500;
 /** Idle time after which connections beyond the share are closed. */
 const IDLE_TIMEOUT_MS: Milliseconds = 300;
--- a/packages/targets/src/statement_exchange.ts
+++ b/packages/targets/src/statement_exchange.ts
@@ -43,7 +43,8 @@
 
 /**
  * Applies the settings and sends the statement, in one write. The connection is
- * closed if an answer is lost or a setting is refused: its state is then unknown.
+ * closed if an answer is lost or a setting is refused: its state is then
+ * unknown.
  */
 export function* exchangeStatement(
   exchange: StatementExchange,
@@ -54,7 +55,8 @@
   const setup = planDifference({applied, session, shape, isInTransaction});
   const requestedAt = timer.now();
   const sent = connection.send([...setup, request], exchange.timeout);
-  // Recorded without waiting: later requests on this connection run after these.
+  // Recorded without waiting: later requests on this connection run after
+  // these.
   noteApplied(applied, setup);
   const endWrite = waitsForReplica(exchange.statement)
     ? exchange.writes.start()
--- a/packages/targets/src/statement_runner.ts
+++ b/packages/targets/src/statement_runner.ts
@@ -47,7 +47,9 @@
     requestedAt: Milliseconds,
     answers: readonly StatementAnswer[],
   ): void;
-  /** Called when opening a connection failed, except at the connection limit. */
+  /**
+   * Called when opening a connection failed, except at the connection limit.
+   */
   onUnresponsive(reason: string): void;
 }
 
@@ -139,8 +141,9 @@
   }
 
   /**
-   * The control connection is opened for the proxy itself, so it serves no other
-   * user. It serves no transaction either, which would block control commands.
+   * The control connection is opened for the proxy itself, so it serves no
+   * other user. It serves no transaction either, which would block control
+   * commands.
    */
   function borrowControlConnection({
     request,
--- a/packages/targets/src/target_commands.ts
+++ b/packages/targets/src/target_commands.ts
@@ -38,7 +38,9 @@
     answers: readonly StatementAnswer[],
   ): void;
   onRoundTrip(duration: Milliseconds): void;
-  /** The target did not accept a connection, or not answer on a new one either. */
+  /**
+   * The target did not accept a connection, or not answer on a new one either.
+   */
   onUnresponsive(reason: string): void;
 }
 
@@ -91,7 +93,9 @@
     return Ok(reply.val[0] as StatementAnswer);
   }
 
-  /** A time-out behind a running statement does not show a broken connection. */
+  /**
+   * A time-out behind a running statement does not show a broken connection.
+   */
   function handleLoss(
     connection: TargetConnection,
     loss: ConnectionLoss,
@@ -103,7 +107,9 @@
     return Err(loss);
   }
 
-  /** Retries on a new connection to tell a lost connection from a lost target. */
+  /**
+   * Retries on a new connection to tell a lost connection from a lost target.
+   */
   function* sendWithRetry(
     command: TargetOrder,
     timeout: Milliseconds,
--- a/packages/targets/src/target_group.ts
+++ b/packages/targets/src/target_group.ts
@@ -65,7 +65,9 @@
   ): Task<LogPosition | undefined>;
   /** Signals changes of the leader, the targets and the log positions. */
   readonly changes: ChangeSignal;
-  /** Probes targets whose state is out of date; call it every `TICK_PERIOD_MS`. */
+  /**
+   * Probes targets whose state is out of date; call it every `TICK_PERIOD_MS`.
+   */
   tick(): void;
   close(): void;
 }
@@ -247,9 +249,9 @@
   }
 
   /**
-   * A round proves nothing while the leader is unresponsive. With an unresponsive
-   * target it includes statuses, which occupy slots of the targets: all waiting
-   * tasks share one round.
+   * A round proves nothing while the leader is unresponsive. With an
+   * unresponsive target it includes statuses, which occupy slots of the
+   * targets: all waiting tasks share one round.
    */
   function mayStartProbeRound(): boolean {
     if (!leader()?.isReached()) {
--- a/packages/targets/src/write_progress.ts
+++ b/packages/targets/src/write_progress.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks whether a target answers writes. A primary that lost its replicas still
- * answers reads, but its writes wait until a replica receives them.
+ * Tracks whether a target answers writes. A primary that lost its replicas
+ * still answers reads, but its writes wait until a replica receives them.
  */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
