--- a/packages/accounts/__tests__/share_lease.spec.ts
+++ b/packages/accounts/__tests__/share_lease.spec.ts
@@ -10,13 +10,13 @@
   test('is leased once the clock reading of the coordinator is known', () => {
     const lease = createShareLease();
     expect(lease.offerTo('b', 0)).toEqual({reading: undefined});
-    lease.noteReading('b', READING, 10);
+    lease.recordReading('b', READING, 10);
     expect(lease.offerTo('b', 20)).toEqual({reading: READING});
   });
 
   test('is leased to no other coordinator before the lease has certainly expired', () => {
     const lease = createShareLease();
-    lease.noteReading('b', READING, 10);
+    lease.recordReading('b', READING, 10);
     lease.offerTo('b', 20);
     expect(lease.offerTo('c', 10 + LEASE_DURATION_MS - 1)).toEqual(undefined);
     expect(lease.offerTo('c', 10 + LEASE_DURATION_MS)).toEqual({
@@ -32,7 +32,7 @@
 
   test('is not offered with a reading that is too old', () => {
     const lease = createShareLease();
-    lease.noteReading('b', READING, 10);
+    lease.recordReading('b', READING, 10);
     expect(lease.offerTo('b', 10 + LEASE_DURATION_MS)).toEqual({
       reading: undefined,
     });
@@ -99,7 +99,7 @@
         }
         const answer = {process: coordinator, time: arrivedAt + clock};
         deliver(arrivedAt, receivedAt =>
-          lease.noteReading(coordinator, answer, receivedAt),
+          lease.recordReading(coordinator, answer, receivedAt),
         );
       });
     }
--- a/packages/accounts/src/create_quota.ts
+++ b/packages/accounts/src/create_quota.ts
@@ -156,7 +156,7 @@
     if (reply.err) {
       return false;
     }
-    shareLease.noteReading(coordinator.proxy, reply.val.reading, timer.now());
+    shareLease.recordReading(coordinator.proxy, reply.val.reading, timer.now());
     const isGranted = reading?.process === reply.val.reading.process;
     hasGrantedLease ||= isGranted;
     return isGranted;
@@ -167,7 +167,11 @@
     if (shareLease.offerTo(self.proxy, now) === undefined) {
       return false;
     }
-    shareLease.noteReading(self.proxy, {process: processId(), time: now}, now);
+    shareLease.recordReading(
+      self.proxy,
+      {process: processId(), time: now},
+      now,
+    );
     shareLease.offerTo(self.proxy, now);
     const startOf = hasGrantedLease ? undefined : processId();
     const until = now + LEASE_DURATION_MS;
--- a/packages/accounts/src/share_lease.ts
+++ b/packages/accounts/src/share_lease.ts
@@ -28,7 +28,7 @@
   /** Undefined while another coordinator may hold the lease. */
   offerTo(coordinator: string, now: Milliseconds): LeaseOffer | undefined;
   /** Records a coordinator's reading; `receivedAt` is of this proxy's clock. */
-  noteReading(
+  recordReading(
     coordinator: string,
     reading: ClockReading,
     receivedAt: Milliseconds,
@@ -65,7 +65,7 @@
       grantedUntil = known.receivedAt + LEASE_DURATION_MS;
       return {reading: known.reading};
     },
-    noteReading(coordinator, reading, receivedAt) {
+    recordReading(coordinator, reading, receivedAt) {
       known = {coordinator, reading, receivedAt};
     },
   };
--- a/packages/targets/__tests__/group_positions.spec.ts
+++ b/packages/targets/__tests__/group_positions.spec.ts
@@ -21,16 +21,16 @@
 function createPositionsWithLeader(synchronousReplicas = 1) {
   const positions = createGroupPositions();
   positions.setTargets(TARGETS, synchronousReplicas);
-  positions.noteStatus('a', 1, status('primary', 1));
+  positions.recordStatus('a', 1, status('primary', 1));
   return positions;
 }
 
 describe('a position', () => {
   test('covers all commits before the earliest probe of any target', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('b', 90, at(1, 3));
-    positions.notePosition('c', 80, at(1, 4));
-    positions.notePosition('a', 100, at(1, 5));
+    positions.recordPosition('b', 90, at(1, 3));
+    positions.recordPosition('c', 80, at(1, 4));
+    positions.recordPosition('a', 100, at(1, 5));
     expect(positions.coveredAt()).toEqual(80);
     expect(positions.lowestCovering(80)).toEqual(at(1, 5));
     expect(positions.lowestCovering(81)).toEqual(undefined);
@@ -38,54 +38,54 @@
 
   test('is not proved while one target has not answered', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('a', 100, at(1, 5));
-    positions.notePosition('b', 100, at(1, 5));
+    positions.recordPosition('a', 100, at(1, 5));
+    positions.recordPosition('b', 100, at(1, 5));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
   test('is proved with one unresponsive target by the received logs of the others', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('a', 100, at(1, 5));
-    positions.noteStatus('a', 95, status('primary', 1, at(1, 5)));
-    positions.noteStatus('b', 90, status('replica', 1, at(1, 5)));
+    positions.recordPosition('a', 100, at(1, 5));
+    positions.recordStatus('a', 95, status('primary', 1, at(1, 5)));
+    positions.recordStatus('b', 90, status('replica', 1, at(1, 5)));
     expect(positions.coveredAt()).toEqual(90);
   });
 
   test('needs an answer of every target if commits need no replica', () => {
     const positions = createPositionsWithLeader(0);
-    positions.notePosition('a', 100, at(1, 5));
-    positions.noteStatus('a', 95, status('primary', 1, at(1, 5)));
-    positions.noteStatus('b', 90, status('replica', 1, at(1, 5)));
+    positions.recordPosition('a', 100, at(1, 5));
+    positions.recordStatus('a', 95, status('primary', 1, at(1, 5)));
+    positions.recordStatus('b', 90, status('replica', 1, at(1, 5)));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
   test('of a replaced primary is not proved once a target applied a later term', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('a', 100, at(1, 5));
-    positions.notePosition('b', 100, at(2, 6));
-    positions.notePosition('c', 100, at(1, 5));
+    positions.recordPosition('a', 100, at(1, 5));
+    positions.recordPosition('b', 100, at(2, 6));
+    positions.recordPosition('c', 100, at(1, 5));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
   test('of a replaced primary is not proved once a replica received a later term', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('a', 100, at(1, 5));
-    positions.noteStatus('a', 100, status('primary', 1, at(1, 5)));
-    positions.noteStatus('b', 100, status('replica', 2, at(2, 6)));
+    positions.recordPosition('a', 100, at(1, 5));
+    positions.recordStatus('a', 100, status('primary', 1, at(1, 5)));
+    positions.recordStatus('b', 100, status('replica', 2, at(2, 6)));
     expect(positions.coveredAt()).toEqual(-Infinity);
   });
 
   test('that is lower than before clears the leader, which has lost its log', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('a', 100, at(1, 5));
-    positions.notePosition('a', 110, at(0, 0));
+    positions.recordPosition('a', 100, at(1, 5));
+    positions.recordPosition('a', 110, at(0, 0));
     expect(positions.leader()).toEqual(undefined);
   });
 
   test('is discarded after a process suspension', () => {
     const positions = createPositionsWithLeader();
     for (const target of TARGETS) {
-      positions.notePosition(target, 100, at(1, 5));
+      positions.recordPosition(target, 100, at(1, 5));
     }
     positions.discardAll();
     expect(positions.lowestCovering(0)).toEqual(undefined);
@@ -98,7 +98,7 @@
       [200, 9],
     ] as const) {
       for (const target of TARGETS) {
-        positions.notePosition(target, time, at(1, end));
+        positions.recordPosition(target, time, at(1, end));
       }
     }
     expect(positions.lowestCovering(100)).toEqual(at(1, 5));
@@ -107,8 +107,8 @@
 
   test('is not replaced by an answer to an earlier probe', () => {
     const positions = createPositionsWithLeader();
-    positions.notePosition('b', 100, at(1, 5));
-    positions.notePosition('b', 90, at(1, 2));
+    positions.recordPosition('b', 100, at(1, 5));
+    positions.recordPosition('b', 90, at(1, 2));
     expect(positions.logOf('b')).toEqual({askedAt: 100, position: at(1, 5)});
   });
 });
@@ -116,14 +116,14 @@
 describe('a leader', () => {
   test('is the primary of the highest term', () => {
     const positions = createPositionsWithLeader();
-    positions.noteStatus('b', 5, status('primary', 2));
-    positions.noteStatus('a', 6, status('primary', 1));
+    positions.recordStatus('b', 5, status('primary', 2));
+    positions.recordStatus('a', 6, status('primary', 1));
     expect(positions.leader()).toEqual({target: 'b', term: 2});
   });
 
   test('is cleared when it reports the replica role', () => {
     const positions = createPositionsWithLeader();
-    positions.noteStatus('a', 5, status('replica', 2));
+    positions.recordStatus('a', 5, status('replica', 2));
     expect(positions.leader()).toEqual(undefined);
   });
 });
--- a/packages/targets/src/group_positions.ts
+++ b/packages/targets/src/group_positions.ts
@@ -45,12 +45,12 @@
 export interface GroupPositions {
   /** Sets the group's targets and how many replicas must receive a commit. */
   setTargets(targets: readonly string[], synchronousReplicas: number): void;
-  notePosition(
+  recordPosition(
     target: string,
     requestedAt: Milliseconds,
     position: LogPosition,
   ): void;
-  noteStatus(
+  recordStatus(
     target: string,
     requestedAt: Milliseconds,
     status: TargetStatus,
@@ -172,7 +172,7 @@
     );
   }
 
-  function notePosition(
+  function recordPosition(
     target: string,
     requestedAt: Milliseconds,
     position: LogPosition,
@@ -188,7 +188,7 @@
     storeSample();
   }
 
-  function noteRole(target: string, {role, term}: TargetStatus): void {
+  function recordRole(target: string, {role, term}: TargetStatus): void {
     const isNewer = leadership === undefined || term > leadership.term;
     if (role === 'primary' && isNewer) {
       leadership = {target, term};
@@ -203,7 +203,7 @@
     }
   }
 
-  function noteStatus(
+  function recordStatus(
     target: string,
     requestedAt: Milliseconds,
     status: TargetStatus,
@@ -213,7 +213,7 @@
       return;
     }
     statuses.set(target, {askedAt: requestedAt, status});
-    noteRole(target, status);
+    recordRole(target, status);
     storeSample();
   }
 
@@ -231,8 +231,8 @@
       targets = countedTargets;
       synchronousReplicas = replicas;
     },
-    notePosition,
-    noteStatus,
+    recordPosition,
+    recordStatus,
     discard(target) {
       logs.delete(target);
       statuses.delete(target);
--- a/packages/targets/src/shared_connections.ts
+++ b/packages/targets/src/shared_connections.ts
@@ -119,14 +119,14 @@
     return mapFuture(opened, result => {
       opening -= 1;
       if (result.err) {
-        noteFailure(result.val);
+        recordFailure(result.val);
         return result;
       }
       return Ok(add(user, requestedAt, result.val));
     });
   }
 
-  function noteFailure(failure: OpenFailure): void {
+  function recordFailure(failure: OpenFailure): void {
     if (failure === 'tooManyConnections') {
       atLimitUntil = options.timer.now() + LIMIT_BACKOFF_MS;
     }
--- a/packages/targets/src/target_group.ts
+++ b/packages/targets/src/target_group.ts
@@ -112,19 +112,19 @@
     synchronousReplicas: 0,
   };
   let probeRoundStartedAt = -Infinity;
-  let knownLeader = '';
+  let reportedLeader = '';
 
   function share(): number {
     return connectionsPerOwner(settings.connectionLimit, options.holders());
   }
 
-  function noteLeader(): void {
+  function reportLeader(): void {
     const leadership = positions.leader();
     const name = leadership ? `${leadership.target}@${leadership.term}` : '';
-    if (name !== knownLeader && leadership !== undefined) {
+    if (name !== reportedLeader && leadership !== undefined) {
       events.onLeader(leadership.target, leadership.term);
     }
-    knownLeader = name;
+    reportedLeader = name;
   }
 
   function add(registration: TargetRegistration): void {
@@ -137,12 +137,12 @@
       readStatus: options.readStatus,
       policies: options.policies,
       onPosition(requestedAt, position) {
-        positions.notePosition(target, requestedAt, position);
+        positions.recordPosition(target, requestedAt, position);
         changes.give();
       },
       onStatus(requestedAt, status) {
-        positions.noteStatus(target, requestedAt, status);
-        noteLeader();
+        positions.recordStatus(target, requestedAt, status);
+        reportLeader();
         changes.give();
       },
       onReachability(isReached, reason) {
--- a/packages/targets/src/target_link.ts
+++ b/packages/targets/src/target_link.ts
@@ -121,19 +121,19 @@
     open: options.open,
     share,
     onAvailable: () => runner.dispatch(),
-    onOpened: noteOpened,
+    onOpened: recordOpened,
   });
   const writes = createWriteProgress(timer);
   const controlConnection = createControlConnection({
     timer,
     target: targetAddress,
     open: options.open,
-    onOpened: noteOpened,
+    onOpened: recordOpened,
   });
   const commands = createTargetCommands({
     runtime,
     connection: controlConnection,
-    onAnswers: noteAnswers,
+    onAnswers: recordAnswers,
     onRoundTrip(duration) {
       shortestRoundTrip = Math.min(shortestRoundTrip ?? Infinity, duration);
     },
@@ -148,7 +148,7 @@
     controlConnection,
     writes,
     share,
-    onAnswers: noteAnswers,
+    onAnswers: recordAnswers,
     onUnresponsive: markUnresponsive,
   });
 
@@ -172,7 +172,7 @@
     }
   }
 
-  function noteAnswers(
+  function recordAnswers(
     requestedAt: Milliseconds,
     answers: readonly StatementAnswer[],
   ): void {
@@ -183,7 +183,7 @@
     }
   }
 
-  function noteOpened(
+  function recordOpened(
     requestedAt: Milliseconds,
     {position, firstAnswers}: OpenedConnection,
   ): void {
@@ -191,10 +191,10 @@
     if (position !== undefined) {
       onPosition(requestedAt, position);
     }
-    firstAnswers.forEach(answer => noteStatus(requestedAt, answer));
+    firstAnswers.forEach(answer => reportStatus(requestedAt, answer));
   }
 
-  function noteStatus(
+  function reportStatus(
     requestedAt: Milliseconds,
     answer: StatementAnswer,
   ): TargetStatus | undefined {
@@ -219,7 +219,7 @@
     const requestedAt = timer.now();
     const reply = sendCommand({kind: 'status'}, CONTROL_TIMEOUT_MS);
     return mapFuture(reply, result => {
-      return result.ok ? noteStatus(requestedAt, result.val) : undefined;
+      return result.ok ? reportStatus(requestedAt, result.val) : undefined;
     });
   }
 
