--- a/packages/targets/src/group_positions.ts
+++ b/packages/targets/src/group_positions.ts
@@ -162,7 +162,7 @@
     samples.push(sample);
   }
 
-  /** True for a leader whose log ends earlier than before: it was lost. */
+  /** True for a leader that lost its log: the log ends earlier than before. */
   function hasLostLog(target: string, position: LogPosition): boolean {
     const known = logs.get(target);
     return (
--- a/packages/targets/src/target_commands.ts
+++ b/packages/targets/src/target_commands.ts
@@ -39,7 +39,8 @@
   ): void;
   onRoundTrip(duration: Milliseconds): void;
   /**
-   * The target did not accept a connection, or not answer on a new one either.
+   * Called when no connection could be opened, except at the connection limit,
+   * or when a new connection gave no answer either.
    */
   onUnresponsive(reason: string): void;
 }
@@ -108,7 +109,7 @@
   }
 
   /**
-   * Retries on a new connection to tell a lost connection from a lost target.
+   * Retries on a new connection, as the loss may concern the connection only.
    */
   function* sendWithRetry(
     command: TargetOrder,
