--- a/packages/platform/__tests__/http_exchange.spec.ts
+++ b/packages/platform/__tests__/http_exchange.spec.ts
@@ -10,28 +10,28 @@
   createHttpExchanger,
 } from '../src/http_exchange';
 
-const CONNECTIONS = 4;
-const PATIENT = 2000;
-const IMPATIENT = 150;
-const QUESTION = {method: 'GET', path: '/'} as const;
+const CONNECTION_COUNT = 4;
+const LONG_TIMEOUT_MS = 2000;
+const SHORT_TIMEOUT_MS = 150;
+const REQUEST = {method: 'GET', path: '/'} as const;
 
-/** A server whose connections can be made to deliver nothing any more. */
-interface SilenceableServer {
+/** A server that can stop responding on its open connections. */
+interface StallableServer {
   readonly address: string;
-  silenceConnections(): void;
+  stallConnections(): void;
   connections(): number;
 }
 
-describe('an HTTP exchanger', () => {
-  const closing: Array<() => void> = [];
-  afterEach(() => closing.splice(0).forEach(close => close()));
+describe('HTTP exchanger', () => {
+  const cleanups: Array<() => void> = [];
+  afterEach(() => cleanups.splice(0).forEach(close => close()));
 
-  async function startServer(): Promise<SilenceableServer> {
-    const silent = new Set<Socket>();
+  async function startServer(): Promise<StallableServer> {
+    const stalled = new Set<Socket>();
     const open = new Set<Socket>();
     let connections = 0;
     const server: Server = createServer((request, response) => {
-      if (!silent.has(request.socket)) {
+      if (!stalled.has(request.socket)) {
         response.end('{}');
       }
     });
@@ -43,51 +43,54 @@
     await new Promise<void>(resolve =>
       server.listen(0, '127.0.0.1', () => resolve()),
     );
-    closing.push(() => {
+    cleanups.push(() => {
       server.close();
       server.closeAllConnections();
     });
     const {port} = server.address() as AddressInfo;
     return {
       address: `127.0.0.1:${port}`,
-      silenceConnections: () => open.forEach(socket => silent.add(socket)),
+      stallConnections: () => open.forEach(socket => stalled.add(socket)),
       connections: () => connections,
     };
   }
 
   function startExchanger(): HttpExchanger {
     const timer = createRealTimer();
-    const exchanger = createHttpExchanger({timer, connections: CONNECTIONS});
-    closing.push(exchanger.close);
+    const exchanger = createHttpExchanger({
+      timer,
+      connections: CONNECTION_COUNT,
+    });
+    cleanups.push(exchanger.close);
     return exchanger;
   }
 
-  function ask(
+  function sendRequest(
     {exchange}: HttpExchanger,
-    {address}: SilenceableServer,
+    {address}: StallableServer,
     timeout: number,
   ): Promise<HttpOutcome> {
-    return promiseFromFuture(exchange(address, QUESTION, timeout));
+    return promiseFromFuture(exchange(address, REQUEST, timeout));
   }
 
-  test('asks on a new connection after one that fell silent', async () => {
+  test('opens a new connection after one became unresponsive', async () => {
     const server = await startServer();
     const exchanger = startExchanger();
-    const kept = Array.from({length: CONNECTIONS}, () =>
-      ask(exchanger, server, PATIENT),
+    const initialRequests = Array.from({length: CONNECTION_COUNT}, () =>
+      sendRequest(exchanger, server, LONG_TIMEOUT_MS),
     );
-    await Promise.all(kept);
-    server.silenceConnections();
-    const first = await ask(exchanger, server, IMPATIENT);
-    const second = await ask(exchanger, server, IMPATIENT);
+    await Promise.all(initialRequests);
+    server.stallConnections();
+    const first = await sendRequest(exchanger, server, SHORT_TIMEOUT_MS);
+    const second = await sendRequest(exchanger, server, SHORT_TIMEOUT_MS);
     expect([first.kind, second.kind]).toEqual(['failed', 'answer']);
   });
 
-  test('keeps connections that answer', async () => {
+  test('reuses a responsive connection', async () => {
     const server = await startServer();
     const exchanger = startExchanger();
-    for (let count = 0; count < 2 * CONNECTIONS; count++) {
-      await ask(exchanger, server, PATIENT);
+    for (let count = 0; count < 2 * CONNECTION_COUNT; count++) {
+      await sendRequest(exchanger, server, LONG_TIMEOUT_MS);
     }
     expect(server.connections()).toEqual(1);
   });
--- a/packages/platform/__tests__/http_platform_client.spec.ts
+++ b/packages/platform/__tests__/http_platform_client.spec.ts
@@ -12,13 +12,17 @@
 import {HttpOutcome, createHttpPlatformClient} from '..';
 
 const REFUSED: HttpOutcome = {kind: 'failed', sent: false, message: 'refused'};
-const SILENT: HttpOutcome = {kind: 'failed', sent: true, message: 'timeout'};
+const NO_RESPONSE: HttpOutcome = {
+  kind: 'failed',
+  sent: true,
+  message: 'timeout',
+};
 
-function answer(status: number, body: unknown = {}): HttpOutcome {
+function createResponse(status: number, body: unknown = {}): HttpOutcome {
   return {kind: 'answer', status, body: JSON.stringify(body)};
 }
 
-/** A client whose addresses answer as told, and the addresses it asked. */
+/** A client with scripted outcomes, and the addresses that it sent requests to. */
 function createScriptedClient(outcomes: HttpOutcome[]) {
   const asked: string[] = [];
   const client = createHttpPlatformClient({
@@ -55,51 +59,64 @@
   });
 }
 
-describe('the platform client over HTTP', () => {
-  test('tries the next address for a write that did not leave', async () => {
-    const written = await writeThrough([REFUSED, answer(200, {version: 1})]);
+describe('HTTP platform client', () => {
+  test('tries the next address for a write that was not sent', async () => {
+    const written = await writeThrough([
+      REFUSED,
+      createResponse(200, {version: 1}),
+    ]);
     expect(written.version).toEqual(1);
-    const out = await writeThrough([REFUSED, REFUSED]);
-    expect([out.failure, out.outcome]).toEqual([
+    const unsent = await writeThrough([REFUSED, REFUSED]);
+    expect([unsent.failure, unsent.outcome]).toEqual([
       'PLATFORM_UNAVAILABLE',
       'not_run',
     ]);
   });
 
-  test('never repeats a write that may have had its effect', async () => {
-    for (const lost of [SILENT, answer(503), answer(200, {odd: 1})]) {
-      const written = await writeThrough([lost, answer(200, {version: 1})]);
+  test('never repeats a write that may have taken effect', async () => {
+    for (const lost of [
+      NO_RESPONSE,
+      createResponse(503),
+      createResponse(200, {odd: 1}),
+    ]) {
+      const written = await writeThrough([
+        lost,
+        createResponse(200, {version: 1}),
+      ]);
       expect([written.asked, written.outcome]).toEqual([1, 'unknown']);
     }
   });
 
-  test('reports a conflict and a missing object by name', async () => {
-    expect((await writeThrough([answer(409)])).failure).toEqual(
+  test('reports a conflict and a missing object by failure name', async () => {
+    expect((await writeThrough([createResponse(409)])).failure).toEqual(
       'VERSION_CONFLICT',
     );
-    const {client} = createScriptedClient([answer(404)]);
+    const {client} = createScriptedClient([createResponse(404)]);
     const missing = await promiseFromFuture(client.getObject('d'));
     expect(missing.err && missing.val.name).toEqual('OBJECT_MISSING');
   });
 
-  test('repeats idempotent calls, and says unknown of a lost put', async () => {
-    const read = createScriptedClient([SILENT, answer(200, {rows: []})]);
+  test('repeats idempotent calls and reports an unknown outcome for a lost put', async () => {
+    const read = createScriptedClient([
+      NO_RESPONSE,
+      createResponse(200, {rows: []}),
+    ]);
     const rows = await promiseFromFuture(read.client.listRows('t', '', 5));
     expect(rows.unwrap()).toEqual([]);
-    const {client, asked} = createScriptedClient([SILENT, REFUSED]);
+    const {client, asked} = createScriptedClient([NO_RESPONSE, REFUSED]);
     const put = await promiseFromFuture(client.putObject('d', 'body'));
     expect(put.err && put.val.outcome).toEqual('unknown');
     expect([...asked].sort()).toEqual(['a', 'b']);
   });
 
-  test('speaks the interface over real HTTP and gives up in time', async () => {
+  test('sends requests over HTTP and times out', async () => {
     const seen: string[] = [];
-    // Time moves only here, so that a busy machine cannot end a wait early.
+    // Virtual time advances only here, so that a slow machine causes no timeout.
     const timer = createVirtualTimer();
     const [server, address] = await listen((request, response) => {
       seen.push(`${request.method} ${request.url}`);
       if (request.url === '/instances') {
-        timer.advance(100); // Stays silent until the client has given up.
+        timer.advance(100); // Reaches the timeout of the client.
         return;
       }
       response.end(JSON.stringify({version: 3, value: {a: 1}}));
@@ -112,13 +129,15 @@
     });
     const row = await promiseFromFuture(client.readRow('a b', 'k/1'));
     const version = await promiseFromFuture(client.writeRow('t', 'k', 2, {}));
-    const silent = await promiseFromFuture(client.listInstances());
+    const timedOutCall = await promiseFromFuture(client.listInstances());
     client.close();
     server.closeAllConnections();
     server.close();
     expect(row.unwrap()).toEqual({version: 3, value: {a: 1}});
     expect(version.unwrap()).toEqual(3);
-    expect(silent.err && silent.val.name).toEqual('PLATFORM_UNAVAILABLE');
+    expect(timedOutCall.err && timedOutCall.val.name).toEqual(
+      'PLATFORM_UNAVAILABLE',
+    );
     expect(seen).toEqual([
       'GET /tables/a%20b/rows/k%2F1',
       'PUT /tables/t/rows/k',
@@ -126,7 +145,7 @@
     ]);
   });
 
-  test('says not run of a write to a port where nobody listens', async () => {
+  test('reports a write to a closed port as not run', async () => {
     const [server, address] = await listen(() => {});
     await new Promise(resolve => server.close(resolve));
     const client = createHttpPlatformClient({
--- a/packages/platform/__tests__/resilient_platform_client.spec.ts
+++ b/packages/platform/__tests__/resilient_platform_client.spec.ts
@@ -13,10 +13,10 @@
 
 import {PlatformClient, createResilientPlatformClient} from '..';
 
-const LATENCY = 10;
+const LATENCY_MS = 10;
 
-/** A platform that is out until told otherwise and counts its calls. */
-function createOutage(outcome: Outcome = 'unknown') {
+/** A client of a platform that counts calls and fails while `state.out` is set. */
+function createUnavailablePlatform(outcome: Outcome = 'unknown') {
   const timer = createVirtualTimer();
   const runtime = createRuntime({timer, random: createRandom(7)});
   const state = {out: true, calls: 0};
@@ -29,7 +29,7 @@
     return runtime.spawn(
       'reply',
       (function* () {
-        yield* perform(delay(LATENCY));
+        yield* perform(delay(LATENCY_MS));
         return result;
       })(),
     ).result;
@@ -53,16 +53,16 @@
     });
     timer.runUntil(() => value !== undefined, limit);
     if (value === undefined) {
-      throw new Error('did not settle');
+      throw new Error('Future did not settle within the limit.');
     }
     return value.settled;
   }
   return {timer, client, state, settle};
 }
 
-describe('the resilient platform client', () => {
-  test('repeats a read until the platform is back', () => {
-    const {timer, client, state, settle} = createOutage();
+describe('resilient platform client', () => {
+  test('retries a read until the platform is available again', () => {
+    const {timer, client, state, settle} = createUnavailablePlatform();
     timer.after(100, () => {
       state.out = false;
     });
@@ -70,22 +70,22 @@
     expect(state.calls).toBeGreaterThan(1);
   });
 
-  test('sends a write once if it may have had its effect', () => {
-    const lost = createOutage('unknown');
+  test('sends a write only once if it may have taken effect', () => {
+    const lost = createUnavailablePlatform('unknown');
     expect(lost.settle(lost.client.writeRow('t', 'k', 1, 0)).err).toEqual(true);
     expect(lost.state.calls).toEqual(1);
-    const refused = createOutage('not_run');
+    const refused = createUnavailablePlatform('not_run');
     const result = refused.settle(refused.client.writeRow('t', 'k', 1, 0));
     expect(result.err && result.val.outcome).toEqual('not_run');
     expect(refused.state.calls).toBeGreaterThan(1);
   });
 
-  test('costs little in a long outage and comes back soon after', () => {
-    const {timer, client, state, settle} = createOutage();
+  test('sends few calls in a long outage and recovers soon after it', () => {
+    const {timer, client, state, settle} = createUnavailablePlatform();
     const stop = timer.every(20, () => void client.readRow('t', 'k'));
     timer.advance(60_000);
     expect(client.breakerState()).toEqual('open');
-    // 3,000 reads were asked for; a probe leaves every few seconds.
+    // Of 3,000 reads, only a probe every few seconds reaches the platform.
     expect(state.calls).toBeLessThan(60);
     const refused = settle(client.readRow('t', 'k'), 1);
     expect(refused.err && refused.val.outcome).toEqual('not_run');
@@ -96,8 +96,8 @@
     stop();
   });
 
-  test('says unknown of a put that was refused after a lost try', () => {
-    const {client, settle} = createOutage('unknown');
+  test('reports an unknown outcome for a put refused after a lost attempt', () => {
+    const {client, settle} = createUnavailablePlatform('unknown');
     const put = settle(client.putObject('d', 'body'));
     expect(put.err && put.val.outcome).toEqual('unknown');
   });
--- a/packages/platform/src/circuit_breaker.ts
+++ b/packages/platform/src/circuit_breaker.ts
@@ -1,50 +1,53 @@
-/** Stops calling a service that keeps failing, and probes it now and then. */
+/** Stops calls to a service that keeps failing, and probes it periodically. */
 import type {Milliseconds, Random, TimerService} from '@kelpstep/runtime';
 
 /**
- * `closed`: calls go through. `open`: calls are refused. `probing`: one call
- * is on its way to find out whether the service is back.
+ * `closed`: calls are admitted. `open`: calls are refused. `probing`: one call is
+ * in flight to test whether the service has recovered.
  */
 export type BreakerState = 'closed' | 'open' | 'probing';
 
-/** A circuit breaker. */
+/** Decides whether a call may be sent, from the results of earlier calls. */
 export interface CircuitBreaker {
   state(): BreakerState;
-  /** True if a call may go now; it must then be reported. */
+  /** True if a call may be sent; its result must then be recorded. */
   admit(): boolean;
+  /** Records the result of an admitted call. */
   succeeded(): void;
   failed(): void;
-  /** Time until a call may be admitted, milliseconds. */
+  /** Time until the open period ends; 0 once it has ended. */
   retryAfter(): Milliseconds;
 }
 
-/** When a breaker opens and for how long. */
+/** Configures when a breaker opens and for how long. */
 export interface CircuitBreakerOptions {
   readonly timer: TimerService;
   readonly random: Random;
-  /** Failures in a row that open it. */
+  /** Consecutive failures that open the breaker. */
   readonly failureThreshold: number;
-  /** First time open; doubles with each failed probe. */
+  /** First open period; doubles with each failed probe. */
   readonly shortestOpen: Milliseconds;
+  /** Limit of the open period. */
   readonly longestOpen: Milliseconds;
 }
 
-const JITTER = 0.25;
+/** The open period varies randomly by plus or minus this share. */
+const JITTER_RATIO = 0.25;
 
-/** Creates a closed breaker. */
+/** Creates a circuit breaker in the `closed` state. */
 export function createCircuitBreaker(
   options: CircuitBreakerOptions,
 ): CircuitBreaker {
   const {timer, random} = options;
   let state: BreakerState = 'closed';
-  let failures = 0;
-  let openFor = options.shortestOpen;
+  let consecutiveFailures = 0;
+  let openDuration = options.shortestOpen;
   let openUntil = 0;
 
   function open(): void {
     state = 'open';
-    openUntil = timer.now() + random.jitter(openFor, JITTER);
-    openFor = Math.min(2 * openFor, options.longestOpen);
+    openUntil = timer.now() + random.jitter(openDuration, JITTER_RATIO);
+    openDuration = Math.min(2 * openDuration, options.longestOpen);
   }
 
   return {
@@ -58,15 +61,15 @@
     },
     succeeded() {
       state = 'closed';
-      failures = 0;
-      openFor = options.shortestOpen;
+      consecutiveFailures = 0;
+      openDuration = options.shortestOpen;
     },
     failed() {
-      failures++;
+      consecutiveFailures++;
       const isLateFailure = state === 'open';
       if (
         !isLateFailure &&
-        (state === 'probing' || failures >= options.failureThreshold)
+        (state === 'probing' || consecutiveFailures >= options.failureThreshold)
       ) {
         open();
       }
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with the platform, through the HTTP client of Node.js. */
+/** HTTP requests to the platform, sent through the HTTP client of Node.js. */
 import {parseAddress} from '@kelpstep/rpc';
 import {
   Future,
@@ -8,73 +8,74 @@
 } from '@kelpstep/runtime';
 import {Agent, type IncomingMessage, request} from 'node:http';
 
-/** A request of the platform's interface. */
+/** A request to the platform. */
 export interface HttpRequest {
   readonly method: 'GET' | 'PUT' | 'POST';
   /** Path and query. */
   readonly path: string;
   readonly body?: string;
   readonly contentType?: string;
-  /** Further headers. */
+  /** Headers besides `content-type` and `content-length`. */
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** An answer, or why there is none. */
+/** A response, or the reason why there is none. */
 export type HttpOutcome =
   | {readonly kind: 'answer'; readonly status: number; readonly body: string}
   | {
       readonly kind: 'failed';
-      /** False if the request certainly did not leave. */
+      /** False if the request was certainly not sent. */
       readonly sent: boolean;
       readonly message: string;
     };
 
-/** Sends a request to `ip:port`; settles within the timeout. */
+/** Sends a request to `ip:port`; settles within the timeout, in milliseconds. */
 export type HttpExchange = (
   address: string,
   request: HttpRequest,
   timeout: Milliseconds,
 ) => Future<HttpOutcome>;
 
-/** An exchange with the connections that it keeps. */
+/** Sends requests over a pool of keep-alive connections. */
 export interface HttpExchanger {
   readonly exchange: HttpExchange;
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void;
 }
 
-/** What an exchanger may be told. */
+/** Options of an exchanger. */
 export interface HttpExchangerOptions {
   readonly timer: TimerService;
-  /** Connections per address. */
+  /** Maximum number of connections per address. */
   readonly connections: number;
-  /** A larger answer is refused, bytes. */
-  readonly maximumAnswerBytes?: number;
+  /** The request fails if the response is larger, in bytes. */
+  readonly maximumResponseBytes?: number;
 }
 
-const DEFAULT_MAXIMUM_ANSWER_BYTES = 8 * 1024 * 1024;
+const DEFAULT_MAXIMUM_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** Errors that come before a request's first byte has left. */
+/** Error codes raised before the first byte of a request is sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
 
 /**
- * Creates an exchanger with keep-alive connections. The client that comes with
- * Node.js is used as it is part of the program's snapshot: others add to each start.
+ * Creates an exchanger with keep-alive connections. It uses the HTTP client of
+ * Node.js, which is part of the start-up snapshot; a library would have to be
+ * loaded at each start.
  */
 export function createHttpExchanger(
   options: HttpExchangerOptions,
 ): HttpExchanger {
   const {timer, connections} = options;
   const maximumBytes =
-    options.maximumAnswerBytes ?? DEFAULT_MAXIMUM_ANSWER_BYTES;
+    options.maximumResponseBytes ?? DEFAULT_MAXIMUM_RESPONSE_BYTES;
   const agent = new Agent({
     keepAlive: true,
     maxSockets: connections,
     noDelay: true,
   });
 
-  /** Closes idle connections: they may have fallen silent with another one. */
-  function closeIdle(address: string): void {
+  /** Closes idle connections: they may be as unresponsive as the one that timed out. */
+  function closeIdleConnections(address: string): void {
     const idle = agent.freeSockets[agent.getName(parseAddress(address))] ?? [];
     [...idle].forEach(socket => socket.destroy());
   }
@@ -90,33 +91,33 @@
     function fail(message: string, sent: boolean): void {
       cancelTimeout();
       outcome.settle({kind: 'failed', sent, message});
-      call.destroy();
+      clientRequest.destroy();
     }
 
-    function read(answer: IncomingMessage): void {
+    function readResponse(response: IncomingMessage): void {
       const chunks: Buffer[] = [];
       let size = 0;
-      answer.on('data', (chunk: Buffer) => {
+      response.on('data', (chunk: Buffer) => {
         chunks.push(chunk);
         size += chunk.length;
         if (size > maximumBytes) {
           fail(`Answer of over ${maximumBytes} bytes.`, true);
         }
       });
-      answer.on('error', error => fail(String(error), true));
-      answer.on('end', () => {
+      response.on('error', error => fail(String(error), true));
+      response.on('end', () => {
         cancelTimeout();
-        const text = Buffer.concat(chunks).toString('utf8');
-        const status = answer.statusCode ?? 0;
-        outcome.settle({kind: 'answer', status, body: text});
+        const responseBody = Buffer.concat(chunks).toString('utf8');
+        const status = response.statusCode ?? 0;
+        outcome.settle({kind: 'answer', status, body: responseBody});
       });
     }
 
     const cancelTimeout = timer.after(timeout, () => {
       fail(`No answer of ${address} in ${timeout} ms.`, isConnected);
-      closeIdle(address);
+      closeIdleConnections(address);
     });
-    const call = request({
+    const clientRequest = request({
       agent,
       method,
       path,
@@ -129,7 +130,7 @@
           : {'content-length': Buffer.byteLength(body)}),
       },
     });
-    call.on('socket', socket => {
+    clientRequest.on('socket', socket => {
       isConnected = !socket.connecting;
       if (socket.connecting) {
         socket.once('connect', () => {
@@ -137,12 +138,12 @@
         });
       }
     });
-    call.on('response', read);
-    call.on('error', (error: NodeJS.ErrnoException) => {
+    clientRequest.on('response', readResponse);
+    clientRequest.on('error', (error: NodeJS.ErrnoException) => {
       const isUnsent = !isConnected && NOT_SENT_CODES.has(error.code ?? '');
       fail(String(error), !isUnsent);
     });
-    call.end(body);
+    clientRequest.end(body);
     return outcome.future;
   }
 
--- a/packages/platform/src/http_platform_calls.ts
+++ b/packages/platform/src/http_platform_calls.ts
@@ -1,4 +1,4 @@
-/** The platform's HTTP interface: its requests and what their answers mean. */
+/** The platform's HTTP API: its requests and how responses are interpreted. */
 import {
   Failure,
   ListedInstance,
@@ -13,7 +13,7 @@
 import {z} from 'zod';
 
 import type {HttpOutcome, HttpRequest} from './http_exchange';
-import {parseJson} from './parse_json';
+import {createJsonParser} from './json_parser';
 
 const HTTP_OK_FIRST = 200;
 const HTTP_OK_LAST = 299;
@@ -29,54 +29,62 @@
 const rowListSchema = z.object({rows: z.array(listedRowSchema)});
 const instanceListSchema = z.object({instances: z.array(listedInstanceSchema)});
 
-/** A request and what its answers mean. */
+/** A request and how its responses are interpreted. */
 export interface PlatformCall<T> {
   readonly request: HttpRequest;
   /**
-   * True if sending it again changes nothing; then another address is tried
-   * even after a request that may have had its effect.
+   * True if repeating the request has no further effect. It is then sent to
+   * another address even if it may have taken effect already.
    */
   readonly idempotent: boolean;
-  /** True if the request changes nothing at all. */
+  /** True if the request never changes state. */
   readonly readOnly: boolean;
-  /** Failures that certain status codes stand for. */
-  readonly refusals: Readonly<Record<number, Failure>>;
+  /** Failures by HTTP status code. */
+  readonly failuresByStatus: Readonly<Record<number, Failure>>;
   parse(body: string): Result<T, string>;
 }
 
-/** An outage; `mayHaveRun` if the request may have had its effect. */
-export function unavailable(message: string, mayHaveRun: boolean): Failure {
+/** A failed call; `mayHaveRun` if the request may have taken effect. */
+export function createUnavailableFailure(
+  message: string,
+  mayHaveRun: boolean,
+): Failure {
   const outcome = mayHaveRun ? 'unknown' : 'not_run';
   return createFailure('PLATFORM_UNAVAILABLE', {message, outcome});
 }
 
-/** A refusal for a fault of the request itself: it had no effect. */
-function isRefusal(status: number): boolean {
+/** True for 4xx: the request was rejected and had no effect. */
+function isClientError(status: number): boolean {
   return status >= HTTP_BAD_REQUEST && status < HTTP_SERVER_ERROR;
 }
 
-/** Reads an answer, or the lack of one. */
+/** Converts an HTTP outcome into the result of a call. */
 export function readOutcome<T>(
   call: PlatformCall<T>,
   outcome: HttpOutcome,
 ): Result<T, Failure> {
   if (outcome.kind === 'failed') {
     const mayHaveRun = outcome.sent && !call.readOnly;
-    return Err(unavailable(outcome.message, mayHaveRun));
+    return Err(createUnavailableFailure(outcome.message, mayHaveRun));
   }
   const {status, body} = outcome;
-  const refusal = call.refusals[status];
-  if (refusal !== undefined) {
-    return Err(refusal);
+  const namedFailure = call.failuresByStatus[status];
+  if (namedFailure !== undefined) {
+    return Err(namedFailure);
   }
   if (status < HTTP_OK_FIRST || status > HTTP_OK_LAST) {
-    const mayHaveRun = !call.readOnly && !isRefusal(status);
-    return Err(unavailable(`The platform answered ${status}.`, mayHaveRun));
+    const mayHaveRun = !call.readOnly && !isClientError(status);
+    return Err(
+      createUnavailableFailure(`The platform answered ${status}.`, mayHaveRun),
+    );
   }
   return call
     .parse(body)
     .mapErr(message =>
-      unavailable(`Odd answer of the platform: ${message}`, !call.readOnly),
+      createUnavailableFailure(
+        `Odd answer of the platform: ${message}`,
+        !call.readOnly,
+      ),
     );
 }
 
@@ -84,14 +92,14 @@
   return `/tables/${encodeURIComponent(table)}/rows/${encodeURIComponent(key)}`;
 }
 
-/** The calls of the platform's interface. */
+/** The calls of the platform's HTTP API. */
 export const PLATFORM_CALLS = {
   readRow: (table: string, key: string): PlatformCall<TableRow> => ({
     request: {method: 'GET', path: rowPath(table, key)},
     idempotent: true,
     readOnly: true,
-    refusals: {},
-    parse: parseJson(tableRowSchema),
+    failuresByStatus: {},
+    parse: createJsonParser(tableRowSchema),
   }),
   writeRow: (
     table: string,
@@ -107,9 +115,9 @@
     },
     idempotent: false,
     readOnly: false,
-    refusals: {[HTTP_CONFLICT]: createFailure('VERSION_CONFLICT')},
+    failuresByStatus: {[HTTP_CONFLICT]: createFailure('VERSION_CONFLICT')},
     parse: (body: string) =>
-      parseJson(versionSchema)(body).map(({version}) => version),
+      createJsonParser(versionSchema)(body).map(({version}) => version),
   }),
   listRows: (
     table: string,
@@ -124,9 +132,9 @@
     },
     idempotent: true,
     readOnly: true,
-    refusals: {},
+    failuresByStatus: {},
     parse: (body: string) =>
-      parseJson(rowListSchema)(body).map(({rows}) => rows),
+      createJsonParser(rowListSchema)(body).map(({rows}) => rows),
   }),
   putObject: (digest: string, body: string): PlatformCall<undefined> => ({
     request: {
@@ -137,22 +145,24 @@
     },
     idempotent: true,
     readOnly: false,
-    refusals: {},
+    failuresByStatus: {},
     parse: () => Ok(undefined),
   }),
   getObject: (digest: string): PlatformCall<string> => ({
     request: {method: 'GET', path: `/objects/${encodeURIComponent(digest)}`},
     idempotent: true,
     readOnly: true,
-    refusals: {[HTTP_NOT_FOUND]: createFailure('OBJECT_MISSING')},
+    failuresByStatus: {[HTTP_NOT_FOUND]: createFailure('OBJECT_MISSING')},
     parse: (body: string) => Ok(body),
   }),
   listInstances: (): PlatformCall<ListedInstance[]> => ({
     request: {method: 'GET', path: '/instances'},
     idempotent: true,
     readOnly: true,
-    refusals: {},
+    failuresByStatus: {},
     parse: (body: string) =>
-      parseJson(instanceListSchema)(body).map(({instances}) => instances),
+      createJsonParser(instanceListSchema)(body).map(
+        ({instances}) => instances,
+      ),
   }),
 } as const;
--- a/packages/platform/src/http_platform_client.ts
+++ b/packages/platform/src/http_platform_client.ts
@@ -1,4 +1,4 @@
-/** The platform's service over HTTP. */
+/** Client of the platform over HTTP, with failover between its addresses. */
 import type {Failure} from '@kelpstep/protocol';
 import {
   Milliseconds,
@@ -10,45 +10,48 @@
 } from '@kelpstep/runtime';
 import {Err, Result} from 'ts-results';
 
-import {Gate, createGate} from './gate';
+import {
+  ConcurrencyLimiter,
+  createConcurrencyLimiter,
+} from './concurrency_limiter';
 import {HttpExchange, createHttpExchanger} from './http_exchange';
 import {
   PLATFORM_CALLS,
   PlatformCall,
   readOutcome,
-  unavailable,
+  createUnavailableFailure,
 } from './http_platform_calls';
 import type {PlatformClient} from './platform_client';
 
-/** What a client over HTTP is made of. */
+/** Options of an HTTP platform client. */
 export interface HttpPlatformClientOptions {
-  /** `ip:port` of the platform's ends, tried in turn. */
+  /** `ip:port` of the platform's endpoints, tried in turn. */
   readonly addresses: readonly string[];
   readonly timer: TimerService;
-  /** Picks the address that is tried first. */
+  /** Selects the address that is tried first. */
   readonly random: Random;
-  /** Longest wait for one answer. */
+  /** Timeout of a request to one address, and of the wait for a free slot. */
   readonly requestTimeout?: Milliseconds;
-  /** Requests on their way at a time. */
+  /** Maximum number of requests in flight. */
   readonly concurrentRequests?: number;
-  /** Requests that wait for their turn; more are refused at once. */
+  /** Requests that may wait for a free slot; further ones fail at once. */
   readonly waitingRequests?: number;
-  /** Replaces HTTP in tests. */
+  /** Replaces the HTTP transport in tests. */
   readonly exchange?: HttpExchange;
 }
 
-/** A client that keeps connections. */
+/** A platform client with open connections. */
 export interface HttpPlatformClient extends PlatformClient {
-  /** Ends all connections. */
+  /** Cancels all requests and closes all connections. */
   close(): void;
 }
 
-const DEFAULT_REQUEST_TIMEOUT = 2000;
-const DEFAULT_CONCURRENT_REQUESTS = 8;
-const DEFAULT_WAITING_REQUESTS = 1000;
+const DEFAULT_REQUEST_TIMEOUT_MS = 2000;
+const DEFAULT_CONCURRENT_REQUEST_COUNT = 8;
+const DEFAULT_WAITING_REQUEST_COUNT = 1000;
 
-/** True if another address may do better. */
-function worthAnotherAddress<T>(
+/** True if the call failed and may be repeated with another address. */
+function shouldTryNextAddress<T>(
   call: PlatformCall<T>,
   result: Result<T, Failure>,
 ): boolean {
@@ -63,26 +66,29 @@
   options: HttpPlatformClientOptions,
 ): HttpPlatformClient {
   const {addresses, timer, random} = options;
-  const timeout = options.requestTimeout ?? DEFAULT_REQUEST_TIMEOUT;
-  const connections = options.concurrentRequests ?? DEFAULT_CONCURRENT_REQUESTS;
+  const timeout = options.requestTimeout ?? DEFAULT_REQUEST_TIMEOUT_MS;
+  const connections =
+    options.concurrentRequests ?? DEFAULT_CONCURRENT_REQUEST_COUNT;
   const exchanger = createHttpExchanger({timer, connections});
   const exchange = options.exchange ?? exchanger.exchange;
   const runtime = createRuntime({timer, random});
-  const gate: Gate = createGate({
-    places: connections,
-    waiting: options.waitingRequests ?? DEFAULT_WAITING_REQUESTS,
+  const limiter: ConcurrencyLimiter = createConcurrencyLimiter({
+    maximumConcurrent: connections,
+    maximumWaiting: options.waitingRequests ?? DEFAULT_WAITING_REQUEST_COUNT,
   });
   let preferred = random.integer(0, addresses.length - 1);
 
-  /** Stays with the address that answered last. */
+  /** Tries the addresses in turn, starting with the last one that responded. */
   function* tryAddresses<T>(call: PlatformCall<T>): Task<Result<T, Failure>> {
-    let result: Result<T, Failure> = Err(unavailable('No address.', false));
+    let result: Result<T, Failure> = Err(
+      createUnavailableFailure('No address.', false),
+    );
     let mayHaveRun = false;
-    for (let tries = 0; tries < addresses.length; tries++) {
+    for (let attempts = 0; attempts < addresses.length; attempts++) {
       const address = addresses[preferred] ?? '';
       const outcome = yield* waitFor(exchange(address, call.request, timeout));
       result = readOutcome(call, outcome);
-      if (!worthAnotherAddress(call, result)) {
+      if (!shouldTryNextAddress(call, result)) {
         return result;
       }
       mayHaveRun ||= result.err && result.val.outcome === 'unknown';
@@ -94,14 +100,16 @@
   }
 
   function* perform<T>(call: PlatformCall<T>): Task<Result<T, Failure>> {
-    const entered = yield* gate.enter(timeout);
-    if (!entered) {
-      return Err(unavailable('Too many requests wait for it.', false));
+    const isAcquired = yield* limiter.acquire(timeout);
+    if (!isAcquired) {
+      return Err(
+        createUnavailableFailure('Too many requests wait for it.', false),
+      );
     }
     try {
       return yield* tryAddresses(call);
     } finally {
-      gate.leave();
+      limiter.release();
     }
   }
 
--- a/packages/platform/src/parse_json.ts
+++ b/packages/platform/src/json_parser.ts
@@ -1,9 +1,9 @@
-/** Reads JSON of a known form. */
+/** Parses JSON that must match a schema. */
 import {Err, Ok, Result} from 'ts-results';
 import {z} from 'zod';
 
-/** A reader of texts; what is no JSON, or of another form, is an error. */
-export function parseJson<T>(schema: z.ZodType<T>) {
+/** Creates a parser that fails on invalid JSON and on values that violate the schema. */
+export function createJsonParser<T>(schema: z.ZodType<T>) {
   return (body: string): Result<T, string> => {
     try {
       const parsed = schema.safeParse(JSON.parse(body));
--- a/packages/platform/src/platform_client.ts
+++ b/packages/platform/src/platform_client.ts
@@ -1,4 +1,4 @@
-/** What other parts use of the platform; tests pass a fake. */
+/** Interface of the platform services; tests use a fake implementation. */
 import type {
   Failure,
   ListedInstance,
@@ -8,19 +8,19 @@
 import type {Future} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** An answer of the platform. */
+/** The pending result of a call. */
 export type PlatformReply<T> = Future<Result<T, Failure>>;
 
 /**
- * The platform's service. Every call may fail with `PLATFORM_UNAVAILABLE`;
- * then a write may nevertheless have taken effect.
+ * The platform's table service, object store and instance list. Every call may
+ * fail with `PLATFORM_UNAVAILABLE`; a write may have taken effect nevertheless.
  */
 export interface PlatformClient {
-  /** Reads a row; version 0 if there is none. */
+  /** Reads a row; its version is 0 if it does not exist. */
   readRow(table: string, key: string): PlatformReply<TableRow>;
   /**
-   * Writes a row if its version is still the expected one (0: no row yet),
-   * else fails with `VERSION_CONFLICT`. Gives the new version.
+   * Writes a row if it has the expected version (0: the row does not exist) and
+   * returns the new version; fails with `VERSION_CONFLICT` otherwise.
    */
   writeRow(
     table: string,
@@ -28,16 +28,16 @@
     expectedVersion: number,
     value: unknown,
   ): PlatformReply<number>;
-  /** Rows whose key is greater than `after`, by key, `limit` at most. */
+  /** Lists at most `limit` rows with keys greater than `after`, ordered by key. */
   listRows(
     table: string,
     after: string,
     limit: number,
   ): PlatformReply<ListedRow[]>;
-  /** Stores an object under its digest; storing it again changes nothing. */
+  /** Stores an object under its digest; idempotent. */
   putObject(digest: string, body: string): PlatformReply<undefined>;
-  /** Reads an object; `OBJECT_MISSING` if there is none. */
+  /** Reads an object; fails with `OBJECT_MISSING` if it does not exist. */
   getObject(digest: string): PlatformReply<string>;
-  /** The lagging list of instances. */
+  /** Lists the instances; the list may be out of date. */
   listInstances(): PlatformReply<ListedInstance[]>;
 }
--- a/packages/platform/src/resilient_platform_client.ts
+++ b/packages/platform/src/resilient_platform_client.ts
@@ -1,7 +1,7 @@
 /**
- * Retries around any platform client: calls that may be repeated are, with
- * exponential backoff and jitter, until a deadline. A circuit breaker keeps a
- * long outage from costing much.
+ * Wraps a platform client with retries and a circuit breaker. Calls that are safe
+ * to repeat are retried with exponential backoff and jitter until a deadline; the
+ * circuit breaker bounds the number of calls during a long outage.
  */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Milliseconds, Runtime, Task, sleep, waitFor} from '@kelpstep/runtime';
@@ -10,26 +10,29 @@
 import {BreakerState, createCircuitBreaker} from './circuit_breaker';
 import type {PlatformClient, PlatformReply} from './platform_client';
 
-/** How patient the client is. */
+/** Options of a resilient client. */
 export interface ResilientPlatformClientOptions {
+  /** The wrapped client. */
   readonly inner: PlatformClient;
   readonly runtime: Runtime;
-  /** No retry begins after this time from the call. */
+  /** Time after the start of a call in which retries may start. */
   readonly retryTime?: Milliseconds;
   readonly shortestBackoff?: Milliseconds;
   readonly longestBackoff?: Milliseconds;
-  /** Failures in a row that open the circuit breaker. */
+  /** Consecutive failures that open the circuit breaker. */
   readonly failureThreshold?: number;
-  /** First and longest time between probes while the breaker is open. */
+  /** First and maximum time between probes while the breaker is open. */
   readonly shortestOpen?: Milliseconds;
   readonly longestOpen?: Milliseconds;
 }
 
-/** A client that retries; its breaker's state is for metrics. */
+/** A platform client with retries. */
 export interface ResilientPlatformClient extends PlatformClient {
+  /** State of the circuit breaker, for metrics. */
   breakerState(): BreakerState;
 }
 
+/** Times are in milliseconds. */
 const DEFAULTS = {
   retryTime: 3000,
   shortestBackoff: 50,
@@ -39,11 +42,11 @@
   longestOpen: 5000,
 };
 
-function isOutage(failure: Failure): boolean {
+function isUnavailable(failure: Failure): boolean {
   return failure.name === 'PLATFORM_UNAVAILABLE';
 }
 
-/** Wraps a client. */
+/** Wraps a platform client. */
 export function createResilientPlatformClient(
   options: ResilientPlatformClientOptions,
 ): ResilientPlatformClient {
@@ -52,8 +55,8 @@
   const settings = {...DEFAULTS, ...options};
   const breaker = createCircuitBreaker({timer, random, ...settings});
 
-  /** `mayHaveRun`: an earlier try of the same call may have had its effect. */
-  function refusal(mayHaveRun: boolean): Failure {
+  /** `mayHaveRun`: an earlier attempt of the same call may have taken effect. */
+  function createRefusal(mayHaveRun: boolean): Failure {
     return createFailure('PLATFORM_UNAVAILABLE', {
       message: 'The platform is out; it is tried again later.',
       outcome: mayHaveRun ? 'unknown' : 'not_run',
@@ -64,29 +67,29 @@
   function* callOnce<T>(
     send: () => PlatformReply<T>,
   ): Task<Result<T, Failure>> {
-    let reported = false;
+    let isReported = false;
     try {
       const result = yield* waitFor(send());
-      reported = true;
-      if (result.err && isOutage(result.val)) {
+      isReported = true;
+      if (result.err && isUnavailable(result.val)) {
         breaker.failed();
       } else {
         breaker.succeeded();
       }
       return result;
     } finally {
-      if (!reported) {
-        // Cancelled in flight: a probe must not stay out for good.
+      if (!isReported) {
+        // Cancelled in flight: without a result, a probe would block the breaker.
         breaker.failed();
       }
     }
   }
 
-  /** Full jitter: retries of many callers spread over the whole interval. */
+  /** Uses full jitter, which spreads the retries of many callers over the interval. */
   function backoffBefore(retry: number): Milliseconds {
     const {shortestBackoff, longestBackoff} = settings;
-    const highest = Math.min(longestBackoff, shortestBackoff * 2 ** retry);
-    return shortestBackoff + random.fraction() * (highest - shortestBackoff);
+    const upperBound = Math.min(longestBackoff, shortestBackoff * 2 ** retry);
+    return shortestBackoff + random.fraction() * (upperBound - shortestBackoff);
   }
 
   function* perform<T>(
@@ -97,17 +100,17 @@
     let mayHaveRun = false;
     for (let retry = 1; ; retry++) {
       if (!breaker.admit()) {
-        return Err(refusal(mayHaveRun));
+        return Err(createRefusal(mayHaveRun));
       }
       const result = yield* callOnce(send);
-      if (result.ok || !isOutage(result.val)) {
+      if (result.ok || !isUnavailable(result.val)) {
         return result;
       }
       mayHaveRun ||= result.val.outcome === 'unknown';
       const outcome = mayHaveRun ? 'unknown' : 'not_run';
       const backoff = backoffBefore(retry);
-      const repeatable = idempotent || !mayHaveRun;
-      if (!repeatable || timer.now() + backoff >= deadline) {
+      const isRepeatable = idempotent || !mayHaveRun;
+      if (!isRepeatable || timer.now() + backoff >= deadline) {
         return Err({...result.val, outcome});
       }
       yield* sleep(backoff);
@@ -120,8 +123,8 @@
 
   return {
     readRow: (table, key) => run(() => inner.readRow(table, key), true),
-    // Not repeated once it may have run: its own effect would look like a
-    // conflict. Whoever writes resolves that by reading the row.
+    // Not retried once it may have taken effect: the retry would conflict with the
+    // first attempt. The caller reads the row to learn whether it was written.
     writeRow: (table, key, expectedVersion, value) =>
       run(() => inner.writeRow(table, key, expectedVersion, value), false),
     listRows: (table, after, limit) =>
--- a/packages/platform/src/table_store.ts
+++ b/packages/platform/src/table_store.ts
@@ -1,11 +1,11 @@
-/** Tables whose changes can be followed; an adapter implements them. */
+/** Interface of a table store with a change feed; adapters implement it. */
 import type {Future, Milliseconds} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** A row as it was written. */
+/** A row of a table. */
 export interface StoredRow {
   readonly key: string;
-  /** Undefined if the bytes can't be read, or the row was removed. */
+  /** Undefined if the value can't be decoded or the row was removed. */
   readonly value: unknown;
   readonly isRemoved: boolean;
   readonly version: number;
@@ -14,33 +14,34 @@
 /** The rows of a table by key. */
 export type TableRows = ReadonlyMap<string, StoredRow>;
 
-/** Rows, and the version up to which they are complete. */
+/** Changed rows, and the table version up to which they are complete. */
 export interface TableChanges {
   readonly rows: readonly StoredRow[];
   readonly version: number;
 }
 
-/** Why a call of the store has no result. */
+/** Why a call to the store failed. */
 export type StoreFailure =
-  /** Refused or not sent: nothing was done. */
+  /** Refused or not sent: it had no effect. */
   | 'refused'
-  /** No answer: it may have been done, or may be done later. */
+  /** No response: it may have taken effect, or may still take effect. */
   | 'unanswered'
-  /** The changes after this version are no longer kept. */
+  /** The store no longer keeps all changes after the given version. */
   | 'history lost'
-  /** The row has another version than expected. */
+  /** The row does not have the expected version. */
   | 'conflict';
 
-/** The platform's table service as the decisions use it. */
+/** A table store with a change feed. */
 export interface TableStore {
+  /** Reads all rows of a table. */
   readTable(table: string): Future<Result<TableChanges, StoreFailure>>;
-  /** Settles with the next changes, or with none once `wait` has passed. */
+  /** Waits for changes after a version; settles with no rows once `wait` has passed. */
   awaitChanges(
     table: string,
     after: number,
     wait: Milliseconds,
   ): Future<Result<TableChanges, StoreFailure>>;
-  /** Writes a row if it has this version (0: none yet); gives the new one. */
+  /** Writes a row if it has the expected version (0: none); returns the new version. */
   replaceRow(
     table: string,
     key: string,
