--- a/packages/platform/src/http_platform_client.ts
+++ b/packages/platform/src/http_platform_client.ts
@@ -18,8 +18,8 @@
 import {
   PLATFORM_CALLS,
   PlatformCall,
-  readOutcome,
   createUnavailableFailure,
+  readOutcome,
 } from './http_platform_calls';
 import type {PlatformClient} from './platform_client';
 
--- a/packages/platform/src/json_parser.ts
+++ b/packages/platform/src/json_parser.ts
@@ -2,7 +2,7 @@
 import {Err, Ok, Result} from 'ts-results';
 import {z} from 'zod';
 
-/** Creates a parser that fails on invalid JSON and on values that violate the schema. */
+/** Creates a parser that fails on invalid JSON and on schema violations. */
 export function createJsonParser<T>(schema: z.ZodType<T>) {
   return (body: string): Result<T, string> => {
     try {
