--- a/packages/table-feed/__tests__/feed_fleet.ts
+++ b/packages/table-feed/__tests__/feed_fleet.ts
@@ -1,4 +1,4 @@
-/** Many proxies with their table feeds, and one store, in virtual time. */
+/** A fleet of proxies with table feeds and one store, in virtual time. */
 import type {TableRows} from '@kelpstep/platform';
 import {
   type Milliseconds,
@@ -22,14 +22,17 @@
   createTableFeed,
 } from '..';
 
-/** Size of a fleet. */
+/** Seed and size of a fleet. */
 export interface FeedFleetOptions {
   readonly seed: number;
   readonly proxies: number;
   readonly dataCentres: number;
 }
 
-/** A fleet with what a test may do to it. */
+/**
+ * A fleet with the faults that a test can inject and the state that it can
+ * read.
+ */
 export interface FeedFleet {
   readonly timer: VirtualTimer;
   readonly network: FakeNetwork;
@@ -39,48 +42,50 @@
   dataCentreOf(name: string): string;
   start(name: string): void;
   startAll(within: Milliseconds): void;
-  /** Ends a process: its connections are reset. */
+  /** Kills the process; its connections are reset. */
   kill(name: string): void;
-  /** Takes a machine away: its connections fall silent. */
-  cutPower(name: string): void;
+  /** Turns the machine off; its connections become unresponsive. */
+  powerOff(name: string): void;
   /** Commits the next configuration. */
   configure(): void;
-  /** Writes a row beside it that says nothing, or removes it. */
-  putForeign(): void;
-  removeForeign(): void;
-  /** Proxies that know a row of that kind. */
-  knowForeign(): string[];
-  /** Proxies that don't have the newest configuration. */
+  /** Adds a row without a readable value to the configuration table. */
+  putUnreadableRow(): void;
+  removeUnreadableRow(): void;
+  /** Proxies whose copy has the unreadable row. */
+  proxiesWithUnreadableRow(): string[];
+  /** Running proxies without the newest configuration. */
   outdated(): string[];
   live(name: string): readonly PresentProxy[] | undefined;
-  /** Time since a proxy's configuration was known to be the newest. */
+  /** Time since a proxy's configuration was known to be up to date. */
   age(name: string): Milliseconds;
-  /** Distributors by the store's rows, by data centre. */
+  /** Distributors of a data centre according to the store. */
   distributors(dataCentre: string): string[];
-  /** Subscriptions that ended as an update lacked what came before it. */
+  /** Number of subscriptions that ended because of a gap between updates. */
   gaps(): number;
-  /** Configurations that came after a newer one in the same process. */
-  backward(): number;
+  /**
+   * Number of configurations received after a newer one by the same process.
+   */
+  regressions(): number;
 }
 
 const CONFIGURATION_TABLE = 'configuration';
-const CONFIGURATION_KNOWN_WITHIN: Milliseconds = 3000;
-const FOREIGN_KEY = 'foreign';
+const CONFIGURATION_STALENESS_BOUND_MS: Milliseconds = 3000;
+const UNREADABLE_ROW_KEY = 'foreign';
 const DISTRIBUTOR_TABLE = 'distributors';
 const FEED_PORT = 7001;
-const ANSWER_TIME: Milliseconds = 4;
-const NEAR_DELAY: Milliseconds = 0.5;
-const FAR_DELAY: Milliseconds = 12;
-/** Proxies that every one is told of. */
-const SEEDS = 3;
-const SMALL_HOST = 250;
+const REPLY_TIME_MS: Milliseconds = 4;
+const LOCAL_LATENCY_MS: Milliseconds = 0.5;
+const REMOTE_LATENCY_MS: Milliseconds = 12;
+/** Number of proxies whose addresses are seeds of every proxy. */
+const SEED_COUNT = 3;
+const HOSTS_PER_SUBNET = 250;
 
 interface RunningFeed {
   readonly feed: TableFeed;
   readonly runtime: Runtime;
 }
 
-/** Creates a fleet; nothing runs yet. */
+/** Creates a fleet without running proxies. */
 export function createFeedFleet(options: FeedFleetOptions): FeedFleet {
   const {seed, dataCentres} = options;
   const timer = createVirtualTimer();
@@ -93,38 +98,40 @@
   const dataCentreOf = (name: string) =>
     `centre-${numberOf(name) % dataCentres}`;
   const hostOf = (name: string) =>
-    `10.0.${Math.floor(numberOf(name) / SMALL_HOST)}.${numberOf(name) % SMALL_HOST}`;
+    `10.0.${Math.floor(numberOf(name) / HOSTS_PER_SUBNET)}.${numberOf(name) % HOSTS_PER_SUBNET}`;
   const addressOf = (name: string) => `${hostOf(name)}:${FEED_PORT}`;
-  const centreOfHost = new Map(
+  const dataCentreByHost = new Map(
     names.map(name => [hostOf(name), dataCentreOf(name)]),
   );
   const network = createFakeNetwork({
     timer,
     random: random.split(),
     latency: (from, to) =>
-      centreOfHost.get(from) === centreOfHost.get(to) ? NEAR_DELAY : FAR_DELAY,
+      dataCentreByHost.get(from) === dataCentreByHost.get(to)
+        ? LOCAL_LATENCY_MS
+        : REMOTE_LATENCY_MS,
   });
   const store = createStandInStore({
     timer,
     random: random.split(),
-    answerTime: ANSWER_TIME,
+    answerTime: REPLY_TIME_MS,
   });
   const running = new Map<string, RunningFeed>();
-  const inForce = new Map<string, number>();
-  const foreignKnown = new Set<string>();
+  const installedVersions = new Map<string, number>();
+  const unreadableRowHolders = new Set<string>();
   let distributorRows: TableRows = new Map();
-  let newest = 0;
-  let backward = 0;
+  let newestVersion = 0;
+  let regressions = 0;
   let gaps = 0;
 
-  function takeConfiguration(name: string, rows: TableRows): void {
+  function recordConfiguration(name: string, rows: TableRows): void {
     const version = Number(rows.get('current')?.value ?? 0);
-    backward += version < (inForce.get(name) ?? 0) ? 1 : 0;
-    inForce.set(name, version);
-    if (rows.has(FOREIGN_KEY)) {
-      foreignKnown.add(name);
+    regressions += version < (installedVersions.get(name) ?? 0) ? 1 : 0;
+    installedVersions.set(name, version);
+    if (rows.has(UNREADABLE_ROW_KEY)) {
+      unreadableRowHolders.add(name);
     } else {
-      foreignKnown.delete(name);
+      unreadableRowHolders.delete(name);
     }
   }
 
@@ -135,7 +142,7 @@
       timer: network.timerFor(host),
       random: random.split(),
     });
-    inForce.set(name, 0);
+    installedVersions.set(name, 0);
     const feed = createTableFeed({
       runtime,
       transport,
@@ -148,13 +155,13 @@
         relayAddress: '',
       },
       capacity: 1,
-      seeds: names.slice(0, SEEDS).map(addressOf),
+      seeds: names.slice(0, SEED_COUNT).map(addressOf),
       distributorTable: DISTRIBUTOR_TABLE,
       tables: [
         {
           table: CONFIGURATION_TABLE,
-          knownWithin: CONFIGURATION_KNOWN_WITHIN,
-          onRows: rows => takeConfiguration(name, rows),
+          knownWithin: CONFIGURATION_STALENESS_BOUND_MS,
+          onRows: rows => recordConfiguration(name, rows),
         },
       ],
       events: {
@@ -170,15 +177,15 @@
     running.set(name, {feed, runtime});
   }
 
-  function end(name: string): void {
+  function stop(name: string): void {
     running.get(name)?.runtime.shutdown();
     running.delete(name);
-    inForce.delete(name);
+    installedVersions.delete(name);
   }
 
-  const watcher = store.clientOf('watcher');
-  function watchDistributors(): void {
-    watcher.readTable(DISTRIBUTOR_TABLE).onSettled(read => {
+  const observer = store.clientOf('watcher');
+  function readDistributors(): void {
+    observer.readTable(DISTRIBUTOR_TABLE).onSettled(read => {
       if (read.ok) {
         distributorRows = new Map(read.val.rows.map(row => [row.key, row]));
       }
@@ -186,8 +193,8 @@
   }
 
   function configure(): void {
-    newest += 1;
-    store.put(CONFIGURATION_TABLE, 'current', newest);
+    newestVersion += 1;
+    store.put(CONFIGURATION_TABLE, 'current', newestVersion);
   }
 
   configure();
@@ -207,31 +214,33 @@
     },
     kill(name) {
       network.killHost(hostOf(name));
-      end(name);
+      stop(name);
     },
-    cutPower(name) {
+    powerOff(name) {
       network.removeHost(hostOf(name));
-      end(name);
+      stop(name);
     },
     configure,
-    putForeign: () => store.put(CONFIGURATION_TABLE, FOREIGN_KEY, undefined),
-    removeForeign: () => store.remove(CONFIGURATION_TABLE, FOREIGN_KEY),
-    knowForeign: () => [...foreignKnown],
+    putUnreadableRow: () =>
+      store.put(CONFIGURATION_TABLE, UNREADABLE_ROW_KEY, undefined),
+    removeUnreadableRow: () =>
+      store.remove(CONFIGURATION_TABLE, UNREADABLE_ROW_KEY),
+    proxiesWithUnreadableRow: () => [...unreadableRowHolders],
     outdated: () =>
-      [...inForce].flatMap(([name, version]) =>
-        version === newest ? [] : [name],
+      [...installedVersions].flatMap(([name, version]) =>
+        version === newestVersion ? [] : [name],
       ),
     live: name => running.get(name)?.feed.live(),
     age: name => running.get(name)?.feed.age(CONFIGURATION_TABLE) ?? Infinity,
     distributors(dataCentre) {
-      watchDistributors();
-      timer.advance(ANSWER_TIME + 1);
+      readDistributors();
+      timer.advance(REPLY_TIME_MS + 1);
       return [...distributorRows]
         .filter(([key]) => key.startsWith(`${dataCentre}/`))
         .map(([, {value}]) => value as {distributor: PresentProxy})
         .map(({distributor}) => distributor.proxy);
     },
     gaps: () => gaps,
-    backward: () => backward,
+    regressions: () => regressions,
   };
 }
--- a/packages/table-feed/__tests__/store_follower.spec.ts
+++ b/packages/table-feed/__tests__/store_follower.spec.ts
@@ -15,13 +15,13 @@
 import {createTableCopy} from '../src/table_copy';
 
 const TABLE = 'configuration';
-const ANSWER_TIME = 4;
-const SECOND = 1000;
+const REPLY_TIME_MS = 4;
+const SECOND_MS = 1000;
 const KNOWN_VERSION = 9;
 const OLDER_VERSION = 5;
 
-describe('a follower whose store has forgotten the history', () => {
-  test('takes no read of an older state as proof, and asks seldom', () => {
+describe('a store follower whose store has lost the history', () => {
+  test('does not confirm the copy by a read of an older state and polls rarely', () => {
     const timer = createVirtualTimer();
     let calls = 0;
     let completions = 0;
@@ -32,7 +32,7 @@
     ): Future<Result<TableChanges, StoreFailure>> {
       const deferred = createDeferred<Result<TableChanges, StoreFailure>>();
       calls += 1;
-      timer.after(ANSWER_TIME, () => deferred.settle(result));
+      timer.after(REPLY_TIME_MS, () => deferred.settle(result));
       return deferred.future;
     }
 
@@ -42,7 +42,7 @@
     };
     const copy = createTableCopy({
       table: TABLE,
-      knownWithin: 3 * SECOND,
+      knownWithin: 3 * SECOND_MS,
       onRows: () => {},
     });
     copy.take({table: TABLE, version: KNOWN_VERSION, rows: []});
@@ -50,9 +50,9 @@
       runtime: createRuntime({timer, random: createRandom(1)}),
       store: {...store, replaceRow: () => createDeferred<never>().future},
       copy,
-      wait: SECOND,
+      wait: SECOND_MS,
       pause: 0,
-      longestRetry: () => SECOND,
+      maximumRetryDelay: () => SECOND_MS,
       onComplete: () => {
         completions += 1;
       },
@@ -64,7 +64,7 @@
       },
     });
     follower.start();
-    timer.advance(5 * SECOND);
+    timer.advance(5 * SECOND_MS);
     follower.stop();
     expect({
       completions,
--- a/packages/table-feed/__tests__/table_feed.spec.ts
+++ b/packages/table-feed/__tests__/table_feed.spec.ts
@@ -9,24 +9,27 @@
 const DATA_CENTRES = 6;
 const FLEET = {proxies: 60, dataCentres: DATA_CENTRES};
 const LARGE_FLEET = {proxies: 195, dataCentres: DATA_CENTRES};
-const START_TIME = 300;
-/** After it all proxies know their distributors. */
-const SETTLED = 5000;
-/** In which a configuration is to be in force everywhere. */
-const IN_FORCE = 3000;
-/** The same after the store was away, counted from its return. */
-const IN_FORCE_AFTER_RETURN = 4000;
-const SECOND = 1000;
+const START_SPREAD_MS = 300;
+/** Time after which all proxies know their distributors. */
+const SETTLING_TIME_MS = 5000;
+/** Time within which every proxy must have a new configuration. */
+const PROPAGATION_BOUND_MS = 3000;
+/** The same bound after a store outage, counted from its end. */
+const PROPAGATION_BOUND_AFTER_OUTAGE_MS = 4000;
+const SECOND_MS = 1000;
 
 function startFleet(seed: number, size = FLEET): FeedFleet {
   const fleet = createFeedFleet({seed, ...size});
-  fleet.startAll(START_TIME);
-  fleet.timer.advance(SETTLED);
+  fleet.startAll(START_SPREAD_MS);
+  fleet.timer.advance(SETTLING_TIME_MS);
   return fleet;
 }
 
-/** Commits a configuration; gives who lacks it when the bound has passed. */
-function configureAndWait(fleet: FeedFleet, wait = IN_FORCE): string[] {
+/** Commits a configuration and returns the proxies without it after `wait`. */
+function configureAndWait(
+  fleet: FeedFleet,
+  wait = PROPAGATION_BOUND_MS,
+): string[] {
   fleet.configure();
   fleet.timer.advance(wait);
   return fleet.outdated();
@@ -38,20 +41,20 @@
   return fleet.store.calls() - before;
 }
 
-function centresOf(fleet: FeedFleet): string[] {
+function dataCentresOf(fleet: FeedFleet): string[] {
   return [...new Set(fleet.names.map(fleet.dataCentreOf))];
 }
 
-describe('the tables of many proxies', () => {
-  test('cost the store calls by data centre, not by proxy', () => {
+describe('tables of many proxies', () => {
+  test('cause store calls per data centre, not per proxy', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed, LARGE_FLEET);
-      const slots = centresOf(fleet).map(
+      const slots = dataCentresOf(fleet).map(
         centre => fleet.distributors(centre).length,
       );
-      const calm = callsWithin(fleet, 10 * SECOND) / 10;
+      const calm = callsWithin(fleet, 10 * SECOND_MS) / 10;
       fleet.configure();
-      const perChange = callsWithin(fleet, SECOND) - calm;
+      const perChange = callsWithin(fleet, SECOND_MS) - calm;
       expect({seed, slots, isCalm: calm < 20, isCheap: perChange < 30}).toEqual(
         {
           seed,
@@ -63,9 +66,9 @@
     }
   });
 
-  test('cost no more with a thousand proxies', () => {
+  test('cause no more store calls with a thousand proxies', () => {
     const fleet = startFleet(1, {...LARGE_FLEET, proxies: 1000});
-    const calm = callsWithin(fleet, 10 * SECOND) / 10;
+    const calm = callsWithin(fleet, 10 * SECOND_MS) / 10;
     expect({outdated: configureAndWait(fleet, 200), isCalm: calm < 20}).toEqual(
       {
         outdated: [],
@@ -84,48 +87,48 @@
       }
       fleet.timer.advance(150);
       expect({seed, outdated: fleet.outdated()}).toEqual({seed, outdated: []});
-      expect(fleet.backward()).toEqual(0);
+      expect(fleet.regressions()).toEqual(0);
     }
   });
 
-  test('come without a gap, whoever subscribes when', () => {
+  test('arrive without a gap while proxies subscribe', () => {
     for (const seed of SEEDS) {
       const fleet = createFeedFleet({seed, ...LARGE_FLEET});
-      fleet.startAll(START_TIME);
+      fleet.startAll(START_SPREAD_MS);
       for (let step = 0; step < 40; step++) {
         fleet.configure();
         fleet.timer.advance(25);
       }
       fleet.names.slice(0, 60).forEach(fleet.kill);
       fleet.names.slice(0, 60).forEach(fleet.start);
-      fleet.timer.advance(SECOND);
+      fleet.timer.advance(SECOND_MS);
       expect({seed, gaps: fleet.gaps()}).toEqual({seed, gaps: 0});
     }
   });
 
-  test('tell of rows that are removed, and of those that can not be read', () => {
+  test('include removed rows and rows that can not be read', () => {
     const fleet = startFleet(1);
-    fleet.putForeign();
-    fleet.timer.advance(SECOND);
-    expect(fleet.knowForeign().length).toEqual(FLEET.proxies);
-    fleet.removeForeign();
-    fleet.timer.advance(SECOND);
-    expect(fleet.knowForeign()).toEqual([]);
+    fleet.putUnreadableRow();
+    fleet.timer.advance(SECOND_MS);
+    expect(fleet.proxiesWithUnreadableRow().length).toEqual(FLEET.proxies);
+    fleet.removeUnreadableRow();
+    fleet.timer.advance(SECOND_MS);
+    expect(fleet.proxiesWithUnreadableRow()).toEqual([]);
     expect(configureAndWait(fleet, 200)).toEqual([]);
   });
 
-  test('go on when the store has forgotten the changes', () => {
+  test('stay up to date when the store has compacted its history', () => {
     const fleet = startFleet(1);
     fleet.store.compact();
     expect(configureAndWait(fleet)).toEqual([]);
   });
 });
 
-describe('connections to the store that fall silent', () => {
-  const PHASES = [0, 700, 1400, 2100, 2800, 3500, 4200, 4900];
+describe('unresponsive connections to the store', () => {
+  const PHASES_MS = [0, 700, 1400, 2100, 2800, 3500, 4200, 4900];
 
-  test('delay no change beyond its bound', () => {
-    for (const phase of PHASES) {
+  test('delay no change beyond its staleness bound', () => {
+    for (const phase of PHASES_MS) {
       const fleet = startFleet(1);
       fleet.timer.advance(phase);
       fleet.store.loseOpenQuestions();
@@ -136,13 +139,16 @@
     }
   });
 
-  test('and the store with them delay no change long after its return', () => {
+  test('delay changes only briefly after the end of a store outage', () => {
     for (const silence of [700, 2800, 5600, 7000, 9800]) {
       const fleet = startFleet(2);
       fleet.store.faults.silent = 'all';
       fleet.timer.advance(silence);
       fleet.store.faults.silent = new Set();
-      const outdated = configureAndWait(fleet, IN_FORCE_AFTER_RETURN);
+      const outdated = configureAndWait(
+        fleet,
+        PROPAGATION_BOUND_AFTER_OUTAGE_MS,
+      );
       expect({silence, outdated}).toEqual({silence, outdated: []});
     }
   });
@@ -151,14 +157,14 @@
 describe('a distributor that fails', () => {
   const faults: Array<[string, (fleet: FeedFleet, name: string) => void]> = [
     ['is killed', (fleet, name) => fleet.kill(name)],
-    ['loses power', (fleet, name) => fleet.cutPower(name)],
+    ['loses power', (fleet, name) => fleet.powerOff(name)],
     ['freezes', (fleet, name) => fleet.network.freezeHost(fleet.hostOf(name))],
     [
-      'gets no answer of the store',
+      'gets no reply from the store',
       ({store}, name) => (store.faults.silent as Set<string>).add(name),
     ],
     [
-      'gets no answer of the store about the configuration',
+      'gets no reply from the store about the configuration',
       ({store}, name) => {
         store.faults.silentTables = new Set(['configuration']);
         (store.faults.silent as Set<string>).add(name);
@@ -169,7 +175,7 @@
       ({store}, name) => (store.faults.refused as Set<string>).add(name),
     ],
     [
-      'is cut off from its subscribers one way',
+      'is partitioned from its subscribers in one direction',
       ({network, names, hostOf}, name) =>
         network.cutGroups([hostOf(name)], names.map(hostOf), 'one-way'),
     ],
@@ -177,7 +183,7 @@
 
   for (const [description, fail] of faults) {
     for (const count of [1, 2]) {
-      test(`delays no change beyond its bound: ${count} of two ${description}`, () => {
+      test(`delays no change beyond its staleness bound: ${count} of two ${description}`, () => {
         for (const seed of SEEDS) {
           const fleet = startFleet(seed);
           const failed = fleet.distributors('centre-1').slice(0, count);
@@ -191,14 +197,14 @@
     }
   }
 
-  test('is replaced, and takes its place as a subscriber when it is back', () => {
+  test('is replaced and becomes a subscriber after its return', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed);
       const before = fleet.distributors('centre-1');
-      before.forEach(fleet.cutPower);
-      fleet.timer.advance(2 * SETTLED);
+      before.forEach(fleet.powerOff);
+      fleet.timer.advance(2 * SETTLING_TIME_MS);
       before.forEach(fleet.start);
-      fleet.timer.advance(SETTLED);
+      fleet.timer.advance(SETTLING_TIME_MS);
       const after = fleet.distributors('centre-1');
       const kept = after.filter(name => before.includes(name));
       expect({seed, count: after.length, kept}).toEqual({
@@ -214,7 +220,7 @@
 });
 
 describe('a proxy', () => {
-  test('without an address for others listens nowhere', () => {
+  test('does not listen without an address for its peers', () => {
     const fleet = createFeedFleet({seed: 1, proxies: 1, dataCentres: 1});
     const transport = fleet.network.transportFor('10.1.0.1');
     const listened: string[] = [];
@@ -241,12 +247,12 @@
       tables: [],
       events: IGNORED_FEED_EVENTS,
     });
-    fleet.timer.advance(SECOND);
+    fleet.timer.advance(SECOND_MS);
     feed.close();
     expect(listened).toEqual([]);
   });
 
-  test('that is cut off from all others takes no slot and asks the store', () => {
+  test('claims no slot and follows the store while it is partitioned from all others', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed);
       const before = fleet.distributors('centre-1');
@@ -256,8 +262,11 @@
       );
       const hosts = fleet.names.filter(name => name !== lone).map(fleet.hostOf);
       fleet.network.cutGroups([fleet.hostOf(lone ?? '')], hosts);
-      const outdated = configureAndWait(fleet, IN_FORCE + SECOND);
-      fleet.timer.advance(20 * SECOND);
+      const outdated = configureAndWait(
+        fleet,
+        PROPAGATION_BOUND_MS + SECOND_MS,
+      );
+      fleet.timer.advance(20 * SECOND_MS);
       expect({seed, outdated, now: fleet.distributors('centre-1')}).toEqual({
         seed,
         outdated: [],
@@ -266,31 +275,31 @@
     }
   });
 
-  test('that the store refuses starts with what others know', () => {
+  test('starts with the tables of its peers if the store refuses it', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed);
       const name = 'proxy-20';
       fleet.kill(name);
       (fleet.store.faults.refused as Set<string>).add(name);
       fleet.start(name);
-      fleet.timer.advance(SECOND);
+      fleet.timer.advance(SECOND_MS);
       expect({seed, outdated: fleet.outdated()}).toEqual({seed, outdated: []});
       expect(configureAndWait(fleet, 200)).toEqual([]);
     }
   });
 
-  test('that is gone is known as gone, and a new one as running', () => {
+  test('is no longer listed after it stops and is listed again after it starts', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed);
       const isListed = (name: string) =>
         fleet.names.filter(other =>
           fleet.live(other)?.some(({proxy}) => proxy === name),
         ).length;
-      fleet.cutPower('proxy-20');
-      fleet.timer.advance(SETTLED);
+      fleet.powerOff('proxy-20');
+      fleet.timer.advance(SETTLING_TIME_MS);
       const afterLoss = isListed('proxy-20');
       fleet.start('proxy-20');
-      fleet.timer.advance(IN_FORCE);
+      fleet.timer.advance(PROPAGATION_BOUND_MS);
       expect({seed, afterLoss, afterStart: isListed('proxy-20')}).toEqual({
         seed,
         afterLoss: 0,
@@ -301,21 +310,26 @@
 });
 
 describe('all proxies', () => {
-  test('know how long a change may have escaped them', () => {
+  test('know how stale their tables may be', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed);
       const isAllAbove = (age: number) =>
         fleet.names.every(name => fleet.age(name) > age);
       const isAllWithin = (age: number) =>
         fleet.names.every(name => fleet.age(name) <= age);
-      const isCalm = isAllWithin(IN_FORCE);
+      const isCalm = isAllWithin(PROPAGATION_BOUND_MS);
       fleet.store.faults.silentTables = new Set(['configuration']);
       fleet.store.faults.silent = 'all';
-      fleet.timer.advance(IN_FORCE + SETTLED);
-      const isUnsure = isAllAbove(IN_FORCE);
+      fleet.timer.advance(PROPAGATION_BOUND_MS + SETTLING_TIME_MS);
+      const isUnsure = isAllAbove(PROPAGATION_BOUND_MS);
       fleet.store.faults.silent = new Set();
-      fleet.timer.advance(IN_FORCE_AFTER_RETURN);
-      expect({seed, isCalm, isUnsure, isSure: isAllWithin(IN_FORCE)}).toEqual({
+      fleet.timer.advance(PROPAGATION_BOUND_AFTER_OUTAGE_MS);
+      expect({
+        seed,
+        isCalm,
+        isUnsure,
+        isSure: isAllWithin(PROPAGATION_BOUND_MS),
+      }).toEqual({
         seed,
         isCalm: true,
         isUnsure: true,
@@ -324,16 +338,16 @@
     }
   });
 
-  test('that start at the same time have the tables soon and ask seldom', () => {
+  test('get the tables soon and with few store calls if they start together', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed, LARGE_FLEET);
       fleet.names.forEach(fleet.kill);
-      fleet.timer.advance(SECOND);
+      fleet.timer.advance(SECOND_MS);
       const before = fleet.store.calls();
-      fleet.startAll(START_TIME);
+      fleet.startAll(START_SPREAD_MS);
       fleet.timer.advance(150);
       const outdated = fleet.outdated();
-      fleet.timer.advance(2 * SECOND);
+      fleet.timer.advance(2 * SECOND_MS);
       const calls = fleet.store.calls() - before;
       expect({
         seed,
@@ -347,15 +361,15 @@
     }
   });
 
-  test('go on while the store is away, and do not crowd it', () => {
+  test('keep their tables during a store outage and do not overload the store', () => {
     for (const seed of SEEDS) {
       const fleet = startFleet(seed, LARGE_FLEET);
       fleet.store.faults.refused = 'all';
-      fleet.timer.advance(SETTLED);
-      const calls = callsWithin(fleet, 10 * SECOND) / 10;
+      fleet.timer.advance(SETTLING_TIME_MS);
+      const calls = callsWithin(fleet, 10 * SECOND_MS) / 10;
       const known = fleet.live('proxy-1')?.length;
       fleet.store.faults.refused = new Set();
-      const outdated = configureAndWait(fleet, 4 * SECOND);
+      const outdated = configureAndWait(fleet, 4 * SECOND_MS);
       expect({seed, known, outdated, isModest: calls < 160}).toEqual({
         seed,
         known: LARGE_FLEET.proxies,
--- a/packages/table-feed/src/choose_sources.ts
+++ b/packages/table-feed/src/choose_sources.ts
@@ -1,10 +1,10 @@
 /**
- * Decides where a proxy takes the tables from, and which slots of distributors
- * are free. Without input and output.
+ * Selects the sources of a proxy's table copies and the free distributor slots.
+ * Performs no input or output.
  *
- * Load pattern: all proxies start at once, or lose their distributors or the
- * store at once. Each then needs the tables soon, and the store must not be asked
- * by all of them at the same moment.
+ * Load pattern: all proxies start, or lose their distributors or the store, at
+ * the same time. Each needs the tables soon, but they must not all send
+ * requests to the store at once.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
@@ -15,99 +15,118 @@
 } from './distributor_row';
 
 /**
- * Staleness up to which news count as fresh. Beyond it another source is asked,
- * with enough of the promised time left for an answer.
+ * Staleness up to which a source counts as fresh. Above it another source is
+ * used, with enough of the staleness bound left for a reply.
  */
-export const FRESH_UP_TO = 0.75;
-/** Proxies that hear nothing fresh ask the store one after another. */
-const FRESH_SPREAD = 0.15;
-/** A proxy that starts waits so much for its peers, for each proxy that runs. */
-const START_PATIENCE_PER_PROXY: Milliseconds = 0.5;
-/** Time until a proxy of a whole new system gives up its seeds. */
-const FIRST_DISTRIBUTORS_WITHIN: Milliseconds = 400;
-/** Distributors elsewhere are asked if those of the own data centre are staler. */
-const FRESH_AT_HOME_UP_TO = 0.66;
-/** A proxy that starts waits so long for the distributors of its data centre. */
-const FIRST_NEWS_WITHIN: Milliseconds = 2000;
-/** A proxy that can't learn the distributors from the store asks others. */
-const UNKNOWN_PATIENCE: Milliseconds = 250;
-/** A distributor that isn't heard for so long has failed, or this proxy is cut. */
-const SILENT_SLOT: Milliseconds = 2000;
-/** A slot whose distributor has no news for so long is given to another proxy. */
-const STALE_SLOT: Milliseconds = 10_000;
+export const FRESHNESS_THRESHOLD_RATIO = 0.75;
+/**
+ * Range over which proxies without a fresh source spread their switch to the
+ * store.
+ */
+const FRESHNESS_THRESHOLD_SPREAD_RATIO = 0.15;
+/** Longest wait of a starting proxy for its peers, per running proxy. */
+const STARTUP_DELAY_PER_PROXY_MS: Milliseconds = 0.5;
+/** Shortest wait for the seeds when a whole new deployment starts. */
+const FIRST_DISTRIBUTORS_TIMEOUT_MS: Milliseconds = 400;
+/** Local staleness above which a fallback source is used. */
+const LOCAL_FRESHNESS_THRESHOLD_RATIO = 0.66;
+/** Time that a starting proxy waits for the distributors of its data centre. */
+const FIRST_UPDATE_TIMEOUT_MS: Milliseconds = 2000;
+/**
+ * Wait for the store's distributor rows before other proxies are used instead.
+ */
+const DISTRIBUTOR_LOOKUP_TIMEOUT_MS: Milliseconds = 250;
+/** After this time the distributor has failed or this proxy is partitioned. */
+const UNRESPONSIVE_SLOT_TIMEOUT_MS: Milliseconds = 2000;
+/** After this time a slot without fresh updates is reassigned in any case. */
+const STALE_SLOT_TIMEOUT_MS: Milliseconds = 10_000;
 
-/** What a proxy knows of its sources. */
+/** Known state of a proxy's sources. */
 export interface SourceView {
-  /** Staleness of the newest news from other proxies; `Infinity` without any. */
+  /**
+   * Staleness by the updates from other proxies; `Infinity` without updates.
+   */
   readonly staleness: number;
-  /** The same for the distributors of the own data centre, of which it may be one. */
-  readonly homeStaleness: number;
-  /** False while the own data centre has no distributor. */
-  readonly hasHome: boolean;
+  /** Staleness by the local distributors, of which this proxy may be one. */
+  readonly localStaleness: number;
+  /** False while this data centre has no distributor. */
+  readonly hasLocalDistributor: boolean;
   /** Time since this proxy started. */
   readonly uptime: Milliseconds;
   readonly isDistributor: boolean;
-  /** Number of proxies that run; undefined while the table isn't known. */
+  /**
+   * Number of running proxies; undefined until the distributor rows are known.
+   */
   readonly proxies: number | undefined;
-  /** True if other proxies are told of this one before they know any. */
+  /** True if the address of this proxy is one of the seeds. */
   readonly isSeed: boolean;
-  /** From 0 to 1, drawn once for each wait: spreads what all would do at once. */
+  /**
+   * Random number from 0 to 1, redrawn while updates are fresh: spreads load.
+   */
   readonly spread: number;
 }
 
-/** True if this proxy asks the store itself. */
-export function followsStore(view: SourceView): boolean {
+/** True if this proxy should follow the store itself. */
+export function shouldFollowStore(view: SourceView): boolean {
   const {staleness, uptime, isDistributor, isSeed, proxies, spread} = view;
   if (isDistributor || (isSeed && proxies === 1)) {
     return true;
   }
   if (Number.isFinite(staleness)) {
-    return staleness > FRESH_UP_TO + FRESH_SPREAD * spread;
+    return (
+      staleness >
+      FRESHNESS_THRESHOLD_RATIO + FRESHNESS_THRESHOLD_SPREAD_RATIO * spread
+    );
   }
-  return proxies !== undefined && uptime > startPatience(view);
+  return proxies !== undefined && uptime > startupDelay(view);
 }
 
-/** How long a proxy that starts waits for its peers before it asks the store. */
-export function startPatience({
+/**
+ * Time that a starting proxy waits for its peers before it follows the store.
+ */
+export function startupDelay({
   proxies = 1,
   isSeed,
   spread,
 }: SourceView): Milliseconds {
   if (proxies > 1) {
-    return proxies * START_PATIENCE_PER_PROXY * spread;
+    return proxies * STARTUP_DELAY_PER_PROXY_MS * spread;
   }
-  // The whole system starts for the first time: all ask the seeds.
-  return isSeed ? 0 : FIRST_DISTRIBUTORS_WITHIN * (1 + spread);
+  // On the first start of a deployment, all other proxies subscribe to the
+  // seeds.
+  return isSeed ? 0 : FIRST_DISTRIBUTORS_TIMEOUT_MS * (1 + spread);
 }
 
-/** True if this proxy subscribes to one that is no distributor of its own. */
-export function needsDistantSource(view: SourceView): boolean {
-  const {homeStaleness, hasHome, uptime, proxies} = view;
+/** True if this proxy needs a source besides the local distributors. */
+export function needsFallbackSource(view: SourceView): boolean {
+  const {localStaleness, hasLocalDistributor, uptime, proxies} = view;
   if (proxies === undefined) {
-    return uptime > UNKNOWN_PATIENCE;
+    return uptime > DISTRIBUTOR_LOOKUP_TIMEOUT_MS;
   }
-  if (!hasHome) {
+  if (!hasLocalDistributor) {
     return true;
   }
-  return Number.isFinite(homeStaleness)
-    ? homeStaleness > FRESH_AT_HOME_UP_TO
-    : uptime > FIRST_NEWS_WITHIN;
+  return Number.isFinite(localStaleness)
+    ? localStaleness > LOCAL_FRESHNESS_THRESHOLD_RATIO
+    : uptime > FIRST_UPDATE_TIMEOUT_MS;
 }
 
-/** What is known of the slots of a data centre. */
+/** Known state of the distributor slots of a data centre. */
 export interface SlotView {
   readonly self: string;
-  /** Rows of the own data centre. */
+  /** Rows of this data centre. */
   readonly rows: readonly DistributorRow[];
-  /** True if the rows are known to be new. */
+  /** True if the rows are known to be up to date. */
   readonly areRowsFresh: boolean;
-  /** True if another proxy gives fresh news: this one isn't cut off. */
-  readonly hearsOthers: boolean;
-  /** How long the distributor at an address hasn't given fresh news. */
-  silence(address: string): Milliseconds;
+  /**
+   * True if another proxy sends fresh updates, so this one isn't partitioned.
+   */
+  readonly receivesFreshUpdates: boolean;
+  /** Time since the distributor at an address last was fresh. */
+  timeSinceFresh(address: string): Milliseconds;
 }
 
-/** The row of this proxy; undefined if it is no distributor. */
+/** The row of this proxy; undefined if it is not a distributor. */
 export function rowOf(
   self: string,
   rows: readonly DistributorRow[],
@@ -115,7 +134,7 @@
   return rows.find(({distributor}) => distributor.proxy === self);
 }
 
-/** A slot that this proxy may take; undefined if there is none. */
+/** A slot that this proxy may claim; undefined if there is none. */
 export function findFreeSlot(view: SlotView): number | undefined {
   const {rows} = view;
   if (!view.areRowsFresh || rowOf(view.self, rows) !== undefined) {
@@ -124,28 +143,32 @@
   for (let slot = 0; slot < SLOTS_PER_DATA_CENTRE; slot++) {
     const row = rows.find(candidate => candidate.slot === slot);
     const others = rows.filter(candidate => candidate !== row);
-    if (row === undefined || isGone(row, others, view)) {
+    if (row === undefined || isReplaceable(row, others, view)) {
       return slot;
     }
   }
   return undefined;
 }
 
-function isGone(
+function isReplaceable(
   {distributor}: DistributorRow,
   others: readonly DistributorRow[],
   view: SlotView,
 ): boolean {
-  const isSilent = ({address}: PresentProxy) =>
-    view.silence(address) > SILENT_SLOT;
-  // A proxy that is cut off must not take the slots of those that it can't hear.
-  if (!view.hearsOthers || !isSilent(distributor)) {
+  const isUnresponsive = ({address}: PresentProxy) =>
+    view.timeSinceFresh(address) > UNRESPONSIVE_SLOT_TIMEOUT_MS;
+  // A partitioned proxy must not claim the slots of proxies that it can't
+  // reach.
+  if (!view.receivesFreshUpdates || !isUnresponsive(distributor)) {
     return false;
   }
-  const isHeardByOther = others.some(
+  const isReportedByOther = others.some(
     row =>
-      !isSilent(row.distributor) &&
+      !isUnresponsive(row.distributor) &&
       row.subscribers.some(({proxy}) => proxy === distributor.proxy),
   );
-  return !isHeardByOther || view.silence(distributor.address) > STALE_SLOT;
+  return (
+    !isReportedByOther ||
+    view.timeSinceFresh(distributor.address) > STALE_SLOT_TIMEOUT_MS
+  );
 }
--- a/packages/table-feed/src/create_table_feed.ts
+++ b/packages/table-feed/src/create_table_feed.ts
@@ -1,4 +1,7 @@
-/** Wires what keeps the copies of the store's tables in a proxy. */
+/**
+ * Wires the components that keep a proxy's copies of the store tables up to
+ * date.
+ */
 import type {TableRows, TableStore} from '@kelpstep/platform';
 import {type Address, type Transport, acceptConnections} from '@kelpstep/rpc';
 import {
@@ -10,106 +13,110 @@
 } from '@kelpstep/runtime';
 
 import {
-  FRESH_UP_TO,
+  FRESHNESS_THRESHOLD_RATIO,
   type SourceView,
-  followsStore,
-  needsDistantSource,
-  startPatience,
+  needsFallbackSource,
+  shouldFollowStore,
+  startupDelay,
 } from './choose_sources';
-import {startDistributorDuty} from './distributor_duty';
+import {startDistributorRole} from './distributor_role';
 import type {PresentProxy} from './distributor_row';
 import type {TableFeedEvents} from './feed_events';
 import {createFeedServer} from './feed_server';
 import {
-  type TablePromise,
+  type TableStalenessBound,
   createConfirmations,
-  questionWait,
+  longPollWait,
   stalenessOf,
 } from './freshness';
-import {createPresentProxies} from './present_proxies';
-import {createSourceKeeper} from './source_keeper';
+import {createProxyDirectory} from './proxy_directory';
+import {createSourceSubscriptions} from './source_subscriptions';
 import {createStoreFollower} from './store_follower';
 import {type TableCopy, createTableCopy} from './table_copy';
 
-/** A table whose rows are wanted. */
-export interface FedTable extends TablePromise {
-  /** Called with all rows at first and after each change. */
+/** A table that the feed keeps a copy of. */
+export interface FeedTable extends TableStalenessBound {
+  /** Called with all rows initially and after each change. */
   onRows(rows: TableRows): void;
 }
 
-/** What a table feed is made of. */
+/** Dependencies and settings of a table feed. */
 export interface TableFeedOptions {
   readonly runtime: Runtime;
   readonly store: TableStore;
   readonly transport: Transport;
   readonly self: PresentProxy;
-  /** Relative to others: those with more become distributors sooner. */
+  /**
+   * Relative capacity: proxies with a higher one become distributors sooner.
+   */
   readonly capacity: number;
-  /** Addresses of proxies to ask first; they may be out of date. */
+  /** Addresses of proxies to subscribe to first; they may be out of date. */
   readonly seeds: readonly Address[];
-  /** Table of the distributors' rows, and of nothing else. */
+  /** Name of the table that holds only distributor rows. */
   readonly distributorTable: string;
-  readonly tables: readonly FedTable[];
+  readonly tables: readonly FeedTable[];
   readonly events: TableFeedEvents;
 }
 
-/** Time since the copy of a table was known to be complete. */
+/** Time since the copy of a table was known to be up to date. */
 export interface TableAge {
   readonly table: string;
   readonly age: Milliseconds;
 }
 
-/** Copies of the tables that are kept current. */
+/** Copies of the tables, kept up to date. */
 export interface TableFeed {
   /**
-   * Proxies that run, this one included; the same array as long as they are the
-   * same. Undefined while they aren't known.
+   * Running proxies, including this one; the same array until they change.
+   * Undefined while they aren't known.
    */
   live(): readonly PresentProxy[] | undefined;
   /**
-   * How many run, with those that were lost lately; undefined as long as `live` is.
+   * Number of running and recently lost proxies; undefined while `live` is.
    */
   fleetSize(): number | undefined;
-  /** Proxies that hand the tables on, in the same order in every proxy's view. */
+  /** All distributors, in the same order on every proxy. */
   distributors(): readonly PresentProxy[];
   /**
-   * Time since the copy of a table was known to be complete; `Infinity` if it
+   * Time since the copy of a table was known to be up to date; `Infinity` if it
    * never was.
    */
   age(table: string): Milliseconds;
-  /** The same of all tables that are known. */
+  /** Ages of all tables that were ever known to be up to date. */
   ages(): readonly TableAge[];
-  /** Stops serving subscribers. */
+  /** Ends the subscriptions and stops serving subscribers. */
   close(): void;
 }
 
-const TICK_PERIOD: Milliseconds = 100;
-/** No request waits for a change of the distributors' rows. */
-const DISTRIBUTORS_KNOWN_WITHIN: Milliseconds = 12_000;
-/** Changes within such a time come with one answer. */
-const CHANGES_PAUSE: Milliseconds = 50;
-/** Pauses after failures: few distributors try again soon, many others late. */
-const DISTRIBUTOR_RETRY: Milliseconds = 800;
-const LONE_RETRY: Milliseconds = 3200;
-const FIRST_READ_RETRY: Milliseconds = 400;
-const RETRY_JITTER = 0.3;
+const TICK_PERIOD_MS: Milliseconds = 100;
+/** Longer than for other tables, as no request waits for a distributor row. */
+const DISTRIBUTORS_STALENESS_BOUND_MS: Milliseconds = 12_000;
+/** Batches changes within this time into one reply of the store. */
+const CHANGE_BATCHING_DELAY_MS: Milliseconds = 50;
+/**
+ * Upper bounds of the backoff: the few distributors retry sooner than others.
+ */
+const DISTRIBUTOR_MAXIMUM_RETRY_DELAY_MS: Milliseconds = 800;
+const OTHER_MAXIMUM_RETRY_DELAY_MS: Milliseconds = 3200;
+const FIRST_READ_RETRY_DELAY_MS: Milliseconds = 400;
+const RETRY_JITTER_RATIO = 0.3;
 
-/** Starts to keep the copies. */
+/** Starts a table feed. */
 export function createTableFeed(options: TableFeedOptions): TableFeed {
   const {runtime, store, self, events, distributorTable} = options;
   const {timer, random} = runtime;
   const startedAt = timer.now();
   let spread = random.fraction();
   let reportedSlot: number | undefined;
-  /** By the store's answers to this proxy. */
-  const answered = createConfirmations(timer);
+  /** Confirmations by the store's replies to this proxy. */
+  const storeConfirmations = createConfirmations(timer);
 
-  const present = createPresentProxies({timer, self});
+  const directory = createProxyDirectory({timer, self});
   const distributors = createTableCopy({
     table: distributorTable,
-    knownWithin: DISTRIBUTORS_KNOWN_WITHIN,
+    knownWithin: DISTRIBUTORS_STALENESS_BOUND_MS,
     onRows(rows) {
-      present.takeRows(rows);
+      directory.updateRows(rows);
       server.publish();
       update();
     },
@@ -117,37 +124,37 @@
   const tableCopies = options.tables.map(copyOf);
   const copies = [distributors, ...tableCopies];
   const server = createFeedServer({runtime, copies, age});
-  const sources = createSourceKeeper({
+  const sources = createSourceSubscriptions({
     runtime,
     self,
     copies,
     transport: options.transport,
     seeds: options.seeds,
-    rows: present.rows,
-    proxies: present.listed,
+    rows: directory.rows,
+    proxies: directory.listed,
     onSubscription: events.onSubscription,
   });
-  /** Those of the most urgent tables first. */
+  /** Followers of the tables with the tightest staleness bounds come first. */
   const followers = [...copies]
     .sort((left, right) => left.knownWithin - right.knownWithin)
     .map(followerOf);
-  const duty = startDistributorDuty({
+  const role = startDistributorRole({
     runtime,
     store,
     self,
     capacity: options.capacity,
     copy: distributors,
-    rows: ownRows,
+    rows: localRows,
     subscribers: server.subscribers,
-    isFresh: () => stalenessOf(copies, age) <= FRESH_UP_TO,
-    hearsOthers,
-    silence: sources.silence,
+    isFresh: () => stalenessOf(copies, age) <= FRESHNESS_THRESHOLD_RATIO,
+    receivesFreshUpdates,
+    timeSinceFresh: sources.timeSinceFresh,
   });
 
-  function copyOf({table, knownWithin, onRows}: FedTable): TableCopy {
+  function copyOf({table, knownWithin: bound, onRows}: FeedTable): TableCopy {
     return createTableCopy({
       table,
-      knownWithin,
+      knownWithin: bound,
       onRows(rows) {
         onRows(rows);
         server.publish();
@@ -160,67 +167,69 @@
       runtime,
       store,
       copy,
-      wait: questionWait(copy),
-      pause: CHANGES_PAUSE,
-      longestRetry: () =>
-        duty.slot() === undefined ? LONE_RETRY : DISTRIBUTOR_RETRY,
-      onComplete: () => answered.confirm(copy.table, timer.now()),
+      wait: longPollWait(copy),
+      pause: CHANGE_BATCHING_DELAY_MS,
+      maximumRetryDelay: () =>
+        role.slot() === undefined
+          ? OTHER_MAXIMUM_RETRY_DELAY_MS
+          : DISTRIBUTOR_MAXIMUM_RETRY_DELAY_MS,
+      onComplete: () => storeConfirmations.confirm(copy.table, timer.now()),
       events,
     });
   }
 
-  function ownRows() {
-    return present
+  function localRows() {
+    return directory
       .rows()
       .filter(({dataCentre}) => dataCentre === self.dataCentre);
   }
 
   function age(table: string): Milliseconds {
-    return Math.min(answered.age(table), sources.age(table));
+    return Math.min(storeConfirmations.age(table), sources.age(table));
   }
 
-  /** By the news of other proxies alone. */
-  function newsStaleness(): number {
+  /** Staleness by the updates of other proxies alone. */
+  function peerStaleness(): number {
     return stalenessOf(copies, sources.age);
   }
 
-  function hearsOthers(): boolean {
-    return newsStaleness() <= FRESH_UP_TO;
+  function receivesFreshUpdates(): boolean {
+    return peerStaleness() <= FRESHNESS_THRESHOLD_RATIO;
   }
 
-  function view(): SourceView {
+  function sourceView(): SourceView {
     const isKnown = distributors.version() !== undefined;
-    const isDistributor = duty.slot() !== undefined;
+    const isDistributor = role.slot() !== undefined;
     const ownStaleness = isDistributor
-      ? stalenessOf(copies, answered.age)
+      ? stalenessOf(copies, storeConfirmations.age)
       : Infinity;
     return {
-      staleness: newsStaleness(),
-      homeStaleness: Math.min(ownStaleness, sources.homeStaleness()),
-      hasHome: isDistributor || ownRows().length > 0,
+      staleness: peerStaleness(),
+      localStaleness: Math.min(ownStaleness, sources.localStaleness()),
+      hasLocalDistributor: isDistributor || localRows().length > 0,
       uptime: timer.now() - startedAt,
       isDistributor,
-      proxies: isKnown ? present.listed().length : undefined,
+      proxies: isKnown ? directory.listed().length : undefined,
       isSeed: options.seeds.includes(self.address),
       spread,
     };
   }
 
   function updateFollowers(): void {
-    if (!followsStore(view())) {
+    if (!shouldFollowStore(sourceView())) {
       followers.forEach(follower => follower.stop());
       return;
     }
-    // One table's questions show whether the store answers a lone proxy at all.
-    const asksAll =
-      duty.slot() !== undefined ||
+    // One follower suffices to find out whether the store is reachable.
+    const followsAll =
+      role.slot() !== undefined ||
       followers.some(follower => follower.isFollowing());
-    const asking = asksAll ? followers : followers.slice(0, 1);
-    asking.forEach(follower => follower.start());
+    const selected = followsAll ? followers : followers.slice(0, 1);
+    selected.forEach(follower => follower.start());
   }
 
-  function report(): void {
-    const slot = duty.slot();
+  function reportSlot(): void {
+    const slot = role.slot();
     if (slot !== reportedSlot) {
       events.onDistributor(slot ?? reportedSlot ?? 0, slot !== undefined);
       reportedSlot = slot;
@@ -228,26 +237,28 @@
   }
 
   function update(): void {
-    sources.update(needsDistantSource(view()));
-    if (hearsOthers()) {
+    sources.update(needsFallbackSource(sourceView()));
+    if (receivesFreshUpdates()) {
       spread = random.fraction();
     }
     updateFollowers();
-    report();
+    reportSlot();
   }
 
-  /** Finds the distributors; with them a proxy needs no more of the store. */
+  /** Reads the distributors, from which a proxy can get all other tables. */
   function* readDistributors(): Task<void> {
     while (distributors.version() === undefined) {
       const read = yield* waitFor(store.readTable(distributorTable));
       if (read.ok) {
         distributors.take({table: distributorTable, ...read.val});
-        answered.confirm(distributorTable, timer.now());
+        storeConfirmations.confirm(distributorTable, timer.now());
       } else {
-        yield* sleep(random.jitter(FIRST_READ_RETRY, RETRY_JITTER));
+        yield* sleep(
+          random.jitter(FIRST_READ_RETRY_DELAY_MS, RETRY_JITTER_RATIO),
+        );
       }
     }
-    yield* sleep(startPatience(view()));
+    yield* sleep(startupDelay(sourceView()));
     update();
   }
 
@@ -265,12 +276,12 @@
 
   const stopListening = listen();
   runtime.spawn('read distributors', readDistributors());
-  const stopTicks = timer.every(TICK_PERIOD, update);
+  const stopTicks = timer.every(TICK_PERIOD_MS, update);
 
   return {
-    live: present.live,
-    fleetSize: present.fleetSize,
-    distributors: present.distributors,
+    live: directory.live,
+    fleetSize: directory.fleetSize,
+    distributors: directory.distributors,
     age,
     ages: () =>
       copies
--- a/packages/table-feed/src/distributor_row.ts
+++ b/packages/table-feed/src/distributor_row.ts
@@ -1,49 +1,52 @@
 /**
- * Rows of the distributors: two slots a data centre, each with the proxy that
- * holds it and the proxies that subscribe to it. Together they tell which
- * proxies run.
+ * Rows of the distributor table: two slots per data centre, each with the proxy
+ * that holds it and its subscribers. Together the rows list the running
+ * proxies.
  */
 import type {TableRows} from '@kelpstep/platform';
 import {z} from 'zod';
 
-/** A proxy as it tells of itself. */
-export const presentProxySchema = z.object({
+/** A proxy's own description. */
+export const proxyDescriptorSchema = z.object({
   proxy: z.string(),
   dataCentre: z.string(),
-  /** Data centres of one region are near each other; empty if not known. */
+  /** Region of nearby data centres; empty if unknown. */
   region: z.string().default(''),
-  /** Where others subscribe to its tables; empty if they can't. */
+  /** Address for table subscriptions; empty if the proxy accepts none. */
   address: z.string(),
-  /** Where others send it statements; empty if they can't. */
+  /** Address for relayed statements; empty if the proxy accepts none. */
   relayAddress: z.string(),
 });
-export type PresentProxy = z.infer<typeof presentProxySchema>;
+export type PresentProxy = z.infer<typeof proxyDescriptorSchema>;
 
-/** What a distributor writes of itself. */
+/** Value of a row, written by the distributor. */
 const distributorValueSchema = z.object({
-  distributor: presentProxySchema,
-  subscribers: z.array(presentProxySchema).readonly(),
-  /** The most proxies that the row told of lately, this one included. */
+  distributor: proxyDescriptorSchema,
+  subscribers: z.array(proxyDescriptorSchema).readonly(),
+  /**
+   * Recent maximum of the proxies that the row lists, including the
+   * distributor.
+   */
   most: z.number().int().nonnegative().default(0),
 });
 export type DistributorValue = z.infer<typeof distributorValueSchema>;
 
-/** A distributor's row. */
+/** A distributor's row with its slot and version. */
 export interface DistributorRow extends DistributorValue {
   readonly dataCentre: string;
   readonly slot: number;
   readonly version: number;
 }
 
-/** With two, one may fail without its subscribers missing a change. */
+/** With two, one may fail without delaying changes for the subscribers. */
 export const SLOTS_PER_DATA_CENTRE = 2;
 
-/** Key of a slot's row. */
-export function keyOfSlot(dataCentre: string, slot: number): string {
+/** Key of a slot's row, for example `centre-1/0`. */
+export function slotKey(dataCentre: string, slot: number): string {
   return `${dataCentre}/${slot}`;
 }
 
-/** The rows that can be read; others name no proxy that could be asked. */
+/** Parses the rows; skips malformed ones, which name no usable proxy. */
 export function readDistributorRows(rows: TableRows): DistributorRow[] {
   return [...rows.values()].flatMap(({key, value, version}) => {
     const parsed = distributorValueSchema.safeParse(value);
@@ -55,33 +58,39 @@
   });
 }
 
-/** All proxies that the rows tell of, each once, by name. */
-export function listPresentProxies(
+/** All distributors and subscribers of the rows, by proxy name. */
+export function listProxiesByName(
   rows: readonly DistributorRow[],
 ): Map<string, PresentProxy> {
-  const present = new Map<string, PresentProxy>();
+  const proxiesByName = new Map<string, PresentProxy>();
   for (const {distributor, subscribers} of rows) {
     for (const proxy of [distributor, ...subscribers]) {
-      present.set(proxy.proxy, proxy);
+      proxiesByName.set(proxy.proxy, proxy);
     }
   }
-  return present;
+  return proxiesByName;
 }
 
 /**
- * How many proxies there are, with those that were lost lately: a data centre that is
- * cut off may go on with all that it had.
+ * Number of running and recently lost proxies. A partitioned data centre may
+ * still run all the proxies that it had.
  */
-export function countLatelyPresent(rows: readonly DistributorRow[]): number {
-  const most = new Map<string, number>();
+export function countRecentProxies(rows: readonly DistributorRow[]): number {
+  const maximumByDataCentre = new Map<string, number>();
   for (const row of rows) {
     const count = Math.max(row.most, row.subscribers.length + 1);
-    most.set(row.dataCentre, Math.max(count, most.get(row.dataCentre) ?? 0));
+    maximumByDataCentre.set(
+      row.dataCentre,
+      Math.max(count, maximumByDataCentre.get(row.dataCentre) ?? 0),
+    );
   }
-  return [...most.values()].reduce((sum, count) => sum + count, 0);
+  return [...maximumByDataCentre.values()].reduce(
+    (sum, count) => sum + count,
+    0,
+  );
 }
 
-/** True if two entries tell the same of a proxy. */
+/** True if two descriptors are equal. */
 export function isSameProxy(
   left: PresentProxy,
   right: PresentProxy | undefined,
@@ -95,7 +104,7 @@
   );
 }
 
-/** True if two lists hold the same proxies in the same order. */
+/** True if two lists hold equal descriptors in the same order. */
 export function areSameProxies(
   left: readonly PresentProxy[],
   right: readonly PresentProxy[],
--- a/packages/table-feed/src/feed_messages.ts
+++ b/packages/table-feed/src/feed_messages.ts
@@ -1,17 +1,17 @@
-/** Messages between a proxy that hands tables on and its subscribers. */
+/** Messages between a proxy that distributes tables and its subscribers. */
 import type {StoredRow} from '@kelpstep/platform';
 import {defineMethod} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 import {gunzipSync, gzipSync} from 'node:zlib';
 import {z} from 'zod';
 
-import {presentProxySchema} from './distributor_row';
+import {proxyDescriptorSchema} from './distributor_row';
 import type {TableUpdate} from './table_copy';
 
 const rowSchema = z
   .object({
     key: z.string(),
-    /** Left out if the row was removed, or its bytes can't be read. */
+    /** Left out if the row was removed or its value can't be read. */
     value: z.unknown().optional(),
     isRemoved: z.boolean(),
     version: z.number(),
@@ -27,57 +27,62 @@
   }),
 );
 
-/** News of the tables, and how current the sender's copies are with them. */
-export const newsSchema = z.object({
+/** Table updates, and the age of the sender's copies including them. */
+export const feedMessageSchema = z.object({
   /**
-   * Milliseconds since each table was known to be complete; a table is left out
-   * if it never was.
+   * Milliseconds since each table was known to be up to date; a table is left
+   * out if it never was.
    */
   ages: z.record(z.string(), z.number().nonnegative()),
   updates: updatesSchema.optional(),
-  /** The updates as text, compressed, in base64. */
+  /** The updates as JSON, gzipped and base64-encoded, in place of `updates`. */
   packed: z.string().optional(),
 });
-export type News = z.infer<typeof newsSchema>;
+export type FeedMessage = z.infer<typeof feedMessageSchema>;
 
 const subscriptionSchema = z.object({
-  subscriber: presentProxySchema,
+  subscriber: proxyDescriptorSchema,
   /** Versions of the subscriber's copies, by table. */
   versions: z.record(z.string(), z.number()),
 });
 
-/** Asks for what the sender lacks now, and for all news from then on. */
+/**
+ * Requests the updates that the sender lacks, and all later ones as
+ * notifications.
+ */
 export const feedSubscribe = defineMethod(
   'feed.subscribe',
   subscriptionSchema,
-  newsSchema,
+  feedMessageSchema,
 );
 
-/** Notification to a subscriber: news. */
-export const FEED_NEWS = 'feed.news';
-/** Notification of a subscriber: it lives. */
+/** Notification to a subscriber with updates. */
+export const FEED_UPDATE = 'feed.news';
+/** Heartbeat notification from a subscriber. */
 export const FEED_HEARTBEAT = 'feed.heartbeat';
-/** Period of signs of life, both ways: news, and heartbeats of subscribers. */
-export const LIFE_PERIOD: Milliseconds = 600;
+/** Period of the updates to subscribers and of the heartbeats from them. */
+export const HEARTBEAT_PERIOD_MS: Milliseconds = 600;
 
-/** Updates with a longer text are compressed. */
-const PACKED_FROM_CHARACTERS = 800;
+/** Updates whose JSON is at least this long are compressed. */
+const COMPRESSION_THRESHOLD_CHARACTERS = 800;
 
-/** The updates as a message carries them. */
+/** Encodes updates for a message, compressed if they are large. */
 export function packUpdates(
   updates: readonly TableUpdate[],
-): Pick<News, 'updates' | 'packed'> {
+): Pick<FeedMessage, 'updates' | 'packed'> {
   if (updates.length === 0) {
     return {};
   }
   const text = JSON.stringify(updates);
-  return text.length < PACKED_FROM_CHARACTERS
+  return text.length < COMPRESSION_THRESHOLD_CHARACTERS
     ? {updates: updates as z.infer<typeof updatesSchema>}
     : {packed: gzipSync(text).toString('base64')};
 }
 
-/** The updates of a message. Throws if it carries something else. */
-export function unpackUpdates({updates, packed}: News): TableUpdate[] {
+/**
+ * Decodes the updates of a message. Throws if compressed updates are malformed.
+ */
+export function unpackUpdates({updates, packed}: FeedMessage): TableUpdate[] {
   if (packed === undefined) {
     return updates ?? [];
   }
--- a/packages/table-feed/src/feed_server.ts
+++ b/packages/table-feed/src/feed_server.ts
@@ -1,4 +1,4 @@
-/** Hands tables on to the proxies that subscribe to this one. */
+/** Distributes tables to the proxies that subscribe to this one. */
 import {
   type Connection,
   type RpcPeer,
@@ -14,28 +14,30 @@
 
 import type {PresentProxy} from './distributor_row';
 import {
-  FEED_NEWS,
-  LIFE_PERIOD,
-  type News,
+  FEED_UPDATE,
+  type FeedMessage,
+  HEARTBEAT_PERIOD_MS,
   feedSubscribe,
   packUpdates,
 } from './feed_messages';
 import type {TableCopy} from './table_copy';
 
-/** What a feed server is made of. */
+/** Dependencies of a feed server. */
 export interface FeedServerOptions {
   readonly runtime: Runtime;
   readonly copies: readonly TableCopy[];
-  /** Time since a table was known to be complete; `Infinity` if it never was. */
+  /**
+   * Time since a table was known to be up to date; `Infinity` if it never was.
+   */
   age(table: string): Milliseconds;
 }
 
-/** Serves subscribers. */
+/** Sends table updates to subscribers. */
 export interface FeedServer {
   accept(connection: Connection): void;
-  /** Sends each subscriber what it lacks. */
+  /** Sends each subscriber the updates that it lacks. */
   publish(): void;
-  /** Proxies that are subscribed. */
+  /** Proxies that subscribe to this one. */
   subscribers(): readonly PresentProxy[];
   close(): void;
 }
@@ -43,26 +45,29 @@
 interface Subscriber {
   readonly peer: RpcPeer;
   readonly proxy: PresentProxy;
-  /** Versions that it has, by table, once what was sent has arrived. */
+  /** Version last sent or reported by the subscriber, by table. */
   readonly sent: Map<string, number>;
 }
 
-/** A subscriber that sent no sign of life for so long is gone. */
-const GONE_AFTER: Milliseconds = 2000;
+/** A subscriber without a heartbeat for this long counts as disconnected. */
+const SUBSCRIBER_TIMEOUT_MS: Milliseconds = 2000;
 
-/** Creates a server; connections are handed to it. */
+/** Creates a server; connections are passed to `accept`. */
 export function createFeedServer(options: FeedServerOptions): FeedServer {
   const {copies} = options;
   const {timer} = options.runtime;
   const subscribers = new Map<RpcPeer, Subscriber>();
-  /** By what is lacked up to which versions: most subscribers lack the same. */
-  const packed = new Map<string, ReturnType<typeof packUpdates>>();
+  /**
+   * Cache by the versions before and after: most subscribers need the same
+   * updates.
+   */
+  const packedByVersions = new Map<string, ReturnType<typeof packUpdates>>();
 
   function packMissing(sent: ReadonlyMap<string, number>) {
     const key = copies
       .map(({table, version}) => `${sent.get(table)} to ${version()}`)
       .join();
-    const known = packed.get(key);
+    const known = packedByVersions.get(key);
     if (known !== undefined) {
       return known;
     }
@@ -70,11 +75,11 @@
       copy => copy.updateSince(sent.get(copy.table)) ?? [],
     );
     const created = packUpdates(updates);
-    packed.set(key, created);
+    packedByVersions.set(key, created);
     return created;
   }
 
-  function ages(): News['ages'] {
+  function ages(): FeedMessage['ages'] {
     const entries = copies.map(
       ({table}) => [table, Math.ceil(options.age(table))] as const,
     );
@@ -83,29 +88,32 @@
     );
   }
 
-  function newsFor({sent}: Subscriber, knownAges: News['ages']): News {
-    const news = packMissing(sent);
+  function messageFor(
+    {sent}: Subscriber,
+    knownAges: FeedMessage['ages'],
+  ): FeedMessage {
+    const packedUpdates = packMissing(sent);
     for (const copy of copies) {
       const version = copy.version();
       if (version !== undefined) {
         sent.set(copy.table, Math.max(version, sent.get(copy.table) ?? 0));
       }
     }
-    return {ages: knownAges, ...news};
+    return {ages: knownAges, ...packedUpdates};
   }
 
   function publish(): void {
-    packed.clear();
+    packedByVersions.clear();
     const knownAges = ages();
     for (const subscriber of subscribers.values()) {
-      subscriber.peer.notify(FEED_NEWS, newsFor(subscriber, knownAges));
+      subscriber.peer.notify(FEED_UPDATE, messageFor(subscriber, knownAges));
     }
-    packed.clear();
+    packedByVersions.clear();
   }
 
-  function dropSilent(): void {
+  function closeUnresponsive(): void {
     for (const {peer} of [...subscribers.values()]) {
-      if (timer.now() - peer.lastHeardAt() > GONE_AFTER) {
+      if (timer.now() - peer.lastHeardAt() > SUBSCRIBER_TIMEOUT_MS) {
         peer.close('silent');
       }
     }
@@ -118,15 +126,15 @@
         const sent = new Map(Object.entries(versions));
         const subscriber: Subscriber = {peer: from, proxy, sent};
         subscribers.set(from, subscriber);
-        return settledFuture(Ok(newsFor(subscriber, ages())));
+        return settledFuture(Ok(messageFor(subscriber, ages())));
       },
     );
     const peer = createRpcPeer({connection, timer, handlers});
     peer.closed.onSettled(() => subscribers.delete(peer));
   }
 
-  const stopTicks = timer.every(LIFE_PERIOD, () => {
-    dropSilent();
+  const stopTicks = timer.every(HEARTBEAT_PERIOD_MS, () => {
+    closeUnresponsive();
     publish();
   });
 
--- a/packages/table-feed/src/freshness.ts
+++ b/packages/table-feed/src/freshness.ts
@@ -1,21 +1,26 @@
-/** How current copies of tables are, against what is promised of them. */
+/**
+ * Measures how up to date table copies are, relative to their staleness bounds.
+ */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** A table, and within what time a change of it is to be known everywhere. */
-export interface TablePromise {
+/**
+ * A table and its staleness bound: every proxy must know a change within this
+ * time.
+ */
+export interface TableStalenessBound {
   readonly table: string;
   readonly knownWithin: Milliseconds;
 }
 
-/** Until when tables are known to be complete, each by itself. */
+/** Latest time at which each table was known to be up to date. */
 export interface Confirmations {
-  /** No change that was confirmed before this time is missing. */
+  /** Records that the copy holds all changes confirmed before this time. */
   confirm(table: string, at: Milliseconds): void;
-  /** Time since then; `Infinity` if it was never known. */
+  /** Time since the latest confirmation; `Infinity` without one. */
   age(table: string): Milliseconds;
 }
 
-/** Creates confirmations without any. */
+/** Creates confirmations in which no table is confirmed. */
 export function createConfirmations(timer: TimerService): Confirmations {
   const times = new Map<string, Milliseconds>();
 
@@ -28,26 +33,28 @@
 }
 
 /**
- * The largest share of the promised time that has passed since a table was known
- * to be complete. Beyond 1 a change may be missing that is to be known by now.
+ * Largest ratio of a table's age to its staleness bound. Above 1, a copy may
+ * lack a change that every proxy should know by now.
  */
 export function stalenessOf(
-  promises: readonly TablePromise[],
+  bounds: readonly TableStalenessBound[],
   age: (table: string) => Milliseconds,
 ): number {
-  const shares = promises.map(
-    ({table, knownWithin}) => age(table) / knownWithin,
+  const ratios = bounds.map(
+    ({table, knownWithin: bound}) => age(table) / bound,
   );
-  return Math.max(...shares);
+  return Math.max(...ratios);
 }
 
 /**
- * Share of the promised time that a question to the store may wait. A connection
- * that fell silent shows then, and there is time left to ask anew.
+ * Ratio of a long poll's wait to the staleness bound. An unresponsive
+ * connection is detected early enough to retry within the bound.
  */
-const QUESTION_SHARE = 0.4;
+const LONG_POLL_WAIT_RATIO = 0.4;
 
-/** Longest wait of a question for a table's changes. */
-export function questionWait({knownWithin}: TablePromise): Milliseconds {
-  return Math.round(QUESTION_SHARE * knownWithin);
+/** Longest wait of a long poll for a table's changes. */
+export function longPollWait({
+  knownWithin: bound,
+}: TableStalenessBound): Milliseconds {
+  return Math.round(LONG_POLL_WAIT_RATIO * bound);
 }
--- /dev/null
+++ b/packages/table-feed/src/proxy_directory.ts
@@ -0,0 +1,106 @@
+/** The running proxies according to the distributor rows. */
+import type {TableRows} from '@kelpstep/platform';
+import type {Milliseconds, TimerService} from '@kelpstep/runtime';
+
+import {
+  type DistributorRow,
+  type PresentProxy,
+  areSameProxies,
+  countRecentProxies,
+  listProxiesByName,
+  readDistributorRows,
+  slotKey,
+} from './distributor_row';
+
+/** Distributor rows and the proxies that they list. */
+export interface ProxyDirectory {
+  /** Replaces the rows; called after each change of the table. */
+  updateRows(rows: TableRows): void;
+  rows(): readonly DistributorRow[];
+  /** All distributors, in the same order on every proxy. */
+  distributors(): readonly PresentProxy[];
+  /** Proxies that are known to be running, including this one. */
+  listed(): readonly PresentProxy[];
+  /**
+   * Running proxies, including this one; the same array until they change.
+   * Undefined until this proxy is listed, because proxies that start with it
+   * are then listed too, or until the wait for that has timed out.
+   */
+  live(): readonly PresentProxy[] | undefined;
+  /**
+   * Number of running and recently lost proxies; undefined while `live` is.
+   */
+  fleetSize(): number | undefined;
+}
+
+/** Dependencies of a proxy directory. */
+export interface ProxyDirectoryOptions {
+  readonly timer: TimerService;
+  readonly self: PresentProxy;
+}
+
+/** Average interval at which distributors renew unchanged rows. */
+export const ROW_RENEWAL_PERIOD_MS: Milliseconds = 300_000;
+/** A row that hasn't changed for this long belongs to a removed data centre. */
+const ROW_EXPIRY_MS: Milliseconds = 2.4 * ROW_RENEWAL_PERIOD_MS;
+/** Time within which a distributor lists a starting proxy. */
+const LISTING_TIMEOUT_MS: Milliseconds = 1500;
+
+interface ObservedVersion {
+  readonly version: number;
+  readonly at: Milliseconds;
+}
+
+function bySlot(left: DistributorRow, right: DistributorRow): number {
+  const byDataCentre = left.dataCentre < right.dataCentre ? -1 : 1;
+  return left.slot - right.slot || byDataCentre;
+}
+
+/** Creates a directory that lists only this proxy. */
+export function createProxyDirectory(
+  options: ProxyDirectoryOptions,
+): ProxyDirectory {
+  const {timer, self} = options;
+  const observedVersions = new Map<string, ObservedVersion>();
+  let rows: readonly DistributorRow[] = [];
+  let distributors: readonly PresentProxy[] = [];
+  let list: readonly PresentProxy[] = [self];
+  let isListed = false;
+  let knownSince: Milliseconds | undefined;
+
+  function isExpired({dataCentre, slot, version}: DistributorRow): boolean {
+    const key = slotKey(dataCentre, slot);
+    const before = observedVersions.get(key);
+    if (before?.version === version) {
+      return timer.now() - before.at > ROW_EXPIRY_MS;
+    }
+    observedVersions.set(key, {version, at: timer.now()});
+    return false;
+  }
+
+  function updateRows(tableRows: TableRows): void {
+    knownSince ??= timer.now();
+    rows = readDistributorRows(tableRows).filter(row => !isExpired(row));
+    distributors = [...rows].sort(bySlot).map(row => row.distributor);
+    const proxiesByName = listProxiesByName(rows);
+    isListed ||= proxiesByName.has(self.proxy);
+    proxiesByName.delete(self.proxy);
+    const next = [self, ...proxiesByName.values()];
+    list = areSameProxies(next, list) ? list : next;
+  }
+
+  function isKnown(): boolean {
+    const waited = timer.now() - (knownSince ?? timer.now());
+    return isListed || waited > LISTING_TIMEOUT_MS;
+  }
+
+  return {
+    updateRows,
+    rows: () => rows,
+    distributors: () => distributors,
+    listed: () => list,
+    live: () => (isKnown() ? list : undefined),
+    fleetSize: () =>
+      isKnown() ? Math.max(list.length, countRecentProxies(rows)) : undefined,
+  };
+}
--- a/packages/table-feed/src/recent_maximum.ts
+++ b/packages/table-feed/src/recent_maximum.ts
@@ -1,26 +1,28 @@
-/** The highest of the values that were noted lately. */
+/** Maximum of the recently recorded values. */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** Remembers a maximum for some time. */
+/** Keeps a maximum for a limited time. */
 export interface RecentMaximum {
-  /** Notes a value; gives the highest one. */
-  note(value: number): number;
+  /** Records a value and returns the current maximum. */
+  recordValue(value: number): number;
 }
 
-/** Creates it without a value; one is kept for so long after it was last noted. */
+/**
+ * Creates an empty maximum; it expires if not reached again within `retention`.
+ */
 export function createRecentMaximum(
   timer: TimerService,
-  keptFor: Milliseconds,
+  retention: Milliseconds,
 ): RecentMaximum {
   let highest = -Infinity;
-  let notedAt = -Infinity;
+  let recordedAt = -Infinity;
 
   return {
-    note(value) {
-      const isOver = timer.now() - notedAt > keptFor;
-      if (value >= highest || isOver) {
+    recordValue(value) {
+      const isExpired = timer.now() - recordedAt > retention;
+      if (value >= highest || isExpired) {
         highest = value;
-        notedAt = timer.now();
+        recordedAt = timer.now();
       }
       return highest;
     },
--- a/packages/table-feed/src/store_follower.ts
+++ b/packages/table-feed/src/store_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps a copy current through the store's feed of changes. */
+/** Keeps a table copy up to date by long polling the store for changes. */
 import type {StoreFailure, TableChanges, TableStore} from '@kelpstep/platform';
 import {
   type Milliseconds,
@@ -14,18 +14,21 @@
 import type {FeedChange, TableFeedEvents} from './feed_events';
 import type {TableCopy} from './table_copy';
 
-/** What a follower is made of. */
+/** Dependencies and settings of a store follower. */
 export interface StoreFollowerOptions {
   readonly runtime: Runtime;
   readonly store: TableStore;
   readonly copy: TableCopy;
-  /** Longest wait of one question. */
+  /** Longest time that the store may hold one long poll open. */
   readonly wait: Milliseconds;
-  /** Pause after changes, so that those in quick succession come together. */
+  /**
+   * Delay after a change, so that changes in quick succession arrive in one
+   * reply.
+   */
   readonly pause: Milliseconds;
-  /** Longest pause after failures. */
-  longestRetry(): Milliseconds;
-  /** The store answered: the copy is complete. */
+  /** Upper bound of the backoff after failures. */
+  maximumRetryDelay(): Milliseconds;
+  /** Called after each reply of the store that leaves the copy up to date. */
   onComplete(): void;
   readonly events: Pick<
     TableFeedEvents,
@@ -33,19 +36,19 @@
   >;
 }
 
-/** Follows a table while it is told to. */
+/** Follows a table between `start` and `stop`. */
 export interface StoreFollower {
   start(): void;
   stop(): void;
-  /** True while the store answers. */
+  /** True if the last request to the store succeeded. */
   isFollowing(): boolean;
 }
 
-/** Wait of a question that is to tell whether the store is there. */
-const SHORTEST_WAIT: Milliseconds = 1;
-const FIRST_RETRY: Milliseconds = 50;
+/** Long poll wait while it is unknown whether the store is reachable. */
+const PROBE_WAIT_MS: Milliseconds = 1;
+const FIRST_RETRY_DELAY_MS: Milliseconds = 50;
 
-/** Creates a follower that doesn't follow yet. */
+/** Creates a stopped follower. */
 export function createStoreFollower(
   options: StoreFollowerOptions,
 ): StoreFollower {
@@ -64,7 +67,7 @@
     }
   }
 
-  function* read(): Task<Result<TableChanges, StoreFailure>> {
+  function* readAll(): Task<Result<TableChanges, StoreFailure>> {
     const reply = yield* waitFor(store.readTable(table));
     if (reply.ok) {
       copy.take({table, ...reply.val});
@@ -75,42 +78,46 @@
   function* awaitChanges(
     after: number,
   ): Task<Result<TableChanges, StoreFailure>> {
-    const wait = isFollowing ? options.wait : SHORTEST_WAIT;
-    const question = store.awaitChanges(table, after, wait);
-    const reply = yield* waitFor(question);
+    const wait = isFollowing ? options.wait : PROBE_WAIT_MS;
+    const request = store.awaitChanges(table, after, wait);
+    const reply = yield* waitFor(request);
     if (reply.ok) {
       copy.take({table, after, ...reply.val});
     }
     return reply;
   }
 
-  function* pauseAfterFailure(): Task<void> {
-    const bounds = {first: FIRST_RETRY, longest: options.longestRetry()};
+  function* backOff(): Task<void> {
+    const bounds = {
+      first: FIRST_RETRY_DELAY_MS,
+      longest: options.maximumRetryDelay(),
+    };
     yield* sleep(retryPause(bounds, failures, random));
     failures += 1;
   }
 
-  function* step(): Task<void> {
-    const known = copy.version();
-    const mustRead = known === undefined || hasLostHistory;
-    const askedAt = timer.now();
-    const reply = yield* mustRead ? read() : awaitChanges(known);
-    const waited = timer.now() - askedAt;
+  function* pollOnce(): Task<void> {
+    const knownVersion = copy.version();
+    const mustRead = knownVersion === undefined || hasLostHistory;
+    const requestedAt = timer.now();
+    const reply = yield* mustRead ? readAll() : awaitChanges(knownVersion);
+    const waited = timer.now() - requestedAt;
     if (reply.err && reply.val === 'history lost') {
       hasLostHistory = true;
-      events.onHistoryLost(table, known ?? 0);
+      events.onHistoryLost(table, knownVersion ?? 0);
       return;
     }
     if (reply.err) {
       setFollowing({isFollowing: false, failure: reply.val, waited});
-      yield* pauseAfterFailure();
+      yield* backOff();
       return;
     }
     const {version, rows} = reply.val;
-    if (known !== undefined && version < known) {
-      // It proves nothing of what has been confirmed since.
-      events.onOlderAnswer(table, version, known);
-      yield* pauseAfterFailure();
+    if (knownVersion !== undefined && version < knownVersion) {
+      // A reply from an older state doesn't confirm that the copy is up to
+      // date.
+      events.onOlderAnswer(table, version, knownVersion);
+      yield* backOff();
       return;
     }
     hasLostHistory = false;
@@ -124,7 +131,7 @@
 
   function* follow(): Task<void> {
     for (;;) {
-      yield* step();
+      yield* pollOnce();
     }
   }
 
--- a/packages/table-feed/src/subscription.ts
+++ b/packages/table-feed/src/subscription.ts
@@ -1,4 +1,6 @@
-/** Takes the tables' news from one other proxy, for as long as it is wanted. */
+/**
+ * Receives table updates from one other proxy and reconnects until it is ended.
+ */
 import {
   type Address,
   type Connection,
@@ -22,46 +24,48 @@
 import type {PresentProxy} from './distributor_row';
 import {
   FEED_HEARTBEAT,
-  FEED_NEWS,
-  LIFE_PERIOD,
-  type News,
+  FEED_UPDATE,
+  type FeedMessage,
+  HEARTBEAT_PERIOD_MS,
+  feedMessageSchema,
   feedSubscribe,
-  newsSchema,
   unpackUpdates,
 } from './feed_messages';
 import {createConfirmations} from './freshness';
 import type {TableCopy} from './table_copy';
 
-/** What a subscription is made of. */
+/** Dependencies of a subscription. */
 export interface SubscriptionOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
   readonly self: PresentProxy;
   readonly address: Address;
   readonly copies: readonly TableCopy[];
-  onSubscribed(isSubscribed: boolean, reason: string): void;
+  onSubscriptionChange(isSubscribed: boolean, reason: string): void;
 }
 
-/** A subscription that is kept up until it is ended. */
+/** A subscription that reconnects until it is ended. */
 export interface Subscription {
-  /** Time since its news of a table were complete; `Infinity` without any. */
+  /**
+   * Time since the source confirmed a table as up to date; `Infinity` if never.
+   */
   age(table: string): Milliseconds;
   end(): void;
 }
 
-/** Time for a connection and its first answer: some round trips. */
-const CONNECT_TIMEOUT: Milliseconds = 400;
-const SUBSCRIBE_TIMEOUT: Milliseconds = 1000;
-/** News come at least each `LIFE_PERIOD`: after so long the other one is silent. */
-const SILENT_AFTER: Milliseconds = 1500;
-const RETRIES: RetryPauseBounds = {first: 80, longest: 800};
+/** Covers the round trips of connecting and of the first reply. */
+const CONNECT_TIMEOUT_MS: Milliseconds = 400;
+const SUBSCRIBE_TIMEOUT_MS: Milliseconds = 1000;
+/** The source sends an update at least every `HEARTBEAT_PERIOD_MS`. */
+const UNRESPONSIVE_AFTER_MS: Milliseconds = 1500;
+const RETRY_DELAY_BOUNDS: RetryPauseBounds = {first: 80, longest: 800};
 const NOT_NEEDED = 'not needed';
 
-/** Starts to subscribe. */
+/** Starts a subscription. */
 export function startSubscription(options: SubscriptionOptions): Subscription {
   const {runtime, transport, copies} = options;
   const {timer, random} = runtime;
-  let connected: RpcPeer | undefined;
+  let currentPeer: RpcPeer | undefined;
   let isSubscribed = false;
   let hasEnded = false;
   const confirmations = createConfirmations(timer);
@@ -70,29 +74,29 @@
   function setSubscribed(subscribed: boolean, reason: string): void {
     if (subscribed !== isSubscribed) {
       isSubscribed = subscribed;
-      options.onSubscribed(subscribed, reason);
+      options.onSubscriptionChange(subscribed, reason);
     }
   }
 
-  /** False if the copies lack what came before these news. */
-  function take(news: News): boolean {
-    const isTaken = unpackUpdates(news).every(
+  /** Returns false if a copy lacks updates that precede this message. */
+  function applyMessage(message: FeedMessage): boolean {
+    const isApplied = unpackUpdates(message).every(
       update =>
         copies.find(({table}) => table === update.table)?.take(update) ?? true,
     );
-    if (isTaken) {
-      for (const [table, age] of Object.entries(news.ages)) {
+    if (isApplied) {
+      for (const [table, age] of Object.entries(message.ages)) {
         confirmations.confirm(table, timer.now() - age);
       }
     }
-    return isTaken;
+    return isApplied;
   }
 
-  function takeNews(peer: RpcPeer, parameters: unknown): void {
-    const parsed = newsSchema.safeParse(parameters);
+  function handleMessage(peer: RpcPeer, parameters: unknown): void {
+    const parsed = feedMessageSchema.safeParse(parameters);
     if (!parsed.success) {
       peer.close('news that can not be read');
-    } else if (!take(parsed.data)) {
+    } else if (!applyMessage(parsed.data)) {
       peer.close('news with a gap');
     }
   }
@@ -106,40 +110,42 @@
     );
   }
 
-  function* stayConnected(peer: RpcPeer): Task<void> {
+  function* maintainConnection(peer: RpcPeer): Task<void> {
     while (!peer.closed.isSettled()) {
       peer.notify(FEED_HEARTBEAT, {});
-      yield* waitAtMost(peer.closed, LIFE_PERIOD);
-      if (timer.now() - peer.lastHeardAt() > SILENT_AFTER) {
+      yield* waitAtMost(peer.closed, HEARTBEAT_PERIOD_MS);
+      if (timer.now() - peer.lastHeardAt() > UNRESPONSIVE_AFTER_MS) {
         peer.close('silent');
       }
     }
   }
 
-  /** A task that was cancelled while it dialled doesn't close what it opened. */
+  /**
+   * Closes a connection that opens after the task was cancelled while dialling.
+   */
   function closeIfEnded(opened: Result<Connection, TransportError>): void {
     if (hasEnded && opened.ok) {
       opened.val.close(NOT_NEEDED);
     }
   }
 
-  /** Gives the reason why it ended. */
+  /** Subscribes until the connection ends; returns the reason of the end. */
   function* subscribe(): Task<string> {
-    const dialled = transport.dial(options.address, CONNECT_TIMEOUT);
+    const dialled = transport.dial(options.address, CONNECT_TIMEOUT_MS);
     dialled.onSettled(closeIfEnded);
     const opened = yield* waitFor(dialled);
     if (opened.err) {
       return opened.val.message;
     }
     const peer = createRpcPeer({connection: opened.val, timer});
-    connected = peer;
-    peer.onNotification(FEED_NEWS, news => takeNews(peer, news));
+    currentPeer = peer;
+    peer.onNotification(FEED_UPDATE, message => handleMessage(peer, message));
     const subscriber = options.self;
     const reply = yield* waitFor(
       peer.request(
         feedSubscribe,
         {subscriber, versions: versions()},
-        SUBSCRIBE_TIMEOUT,
+        SUBSCRIBE_TIMEOUT_MS,
       ),
     );
     if (reply.err) {
@@ -147,23 +153,23 @@
       return reply.val.failure.message;
     }
     failures = 0;
-    takeNews(peer, reply.val);
+    handleMessage(peer, reply.val);
     setSubscribed(true, '');
-    yield* stayConnected(peer);
+    yield* maintainConnection(peer);
     return yield* waitFor(peer.closed);
   }
 
-  function* keepSubscribed(): Task<void> {
+  function* maintainSubscription(): Task<void> {
     for (;;) {
       setSubscribed(false, yield* subscribe());
-      yield* sleep(retryPause(RETRIES, failures, random));
+      yield* sleep(retryPause(RETRY_DELAY_BOUNDS, failures, random));
       failures += 1;
     }
   }
 
   const task = runtime.spawn(
     `subscribe to ${options.address}`,
-    keepSubscribed(),
+    maintainSubscription(),
   );
 
   return {
@@ -171,7 +177,7 @@
     end() {
       hasEnded = true;
       task.cancel();
-      connected?.close(NOT_NEEDED);
+      currentPeer?.close(NOT_NEEDED);
       setSubscribed(false, NOT_NEEDED);
     },
   };
--- a/packages/table-feed/src/table_copy.ts
+++ b/packages/table-feed/src/table_copy.ts
@@ -1,52 +1,56 @@
-/** A copy of one of the store's tables, and what others lack of it. */
+/**
+ * A local copy of a store table, and the updates that other copies of it lack.
+ */
 import type {StoredRow, TableRows} from '@kelpstep/platform';
 
-import type {TablePromise} from './freshness';
+import type {TableStalenessBound} from './freshness';
 
-/** Rows of a table that take a copy from one version to another. */
+/** Rows that bring a copy of a table from one version to another. */
 export interface TableUpdate {
   readonly table: string;
   /**
-   * A copy has to be at this version or a later one; undefined if the rows are
-   * the whole table.
+   * Lowest version of a copy that the update can be applied to; undefined if
+   * `rows` is the whole table.
    */
   readonly after?: number | undefined;
-  /** Version of the copy with these rows. */
+  /** Version of the copy after the update. */
   readonly version: number;
   readonly rows: readonly StoredRow[];
 }
 
-/** A copy of a table. Its version only rises. */
-export interface TableCopy extends TablePromise {
+/** A copy of a table. Its version never decreases. */
+export interface TableCopy extends TableStalenessBound {
   rows(): TableRows;
-  /** Undefined while nothing is known. */
+  /** Undefined until the first update. */
   version(): number | undefined;
-  /** Takes an update; false if this copy lacks what came before it. */
+  /** Applies an update; returns false if this copy lacks preceding updates. */
   take(update: TableUpdate): boolean;
-  /** What a copy at a version lacks; undefined if it lacks nothing. */
+  /**
+   * The update that a copy at a version lacks; undefined if it lacks nothing.
+   */
   updateSince(version: number | undefined): TableUpdate | undefined;
 }
 
-/** What a copy is made of. */
-export interface TableCopyOptions extends TablePromise {
-  /** Called after each update that brought rows. */
+/** Table, staleness bound and listener of a copy. */
+export interface TableCopyOptions extends TableStalenessBound {
+  /** Called after each full update and each update with rows. */
   onRows(rows: TableRows): void;
 }
 
-/** Updates that are kept for subscribers that lack a few of them. */
-const KEPT_UPDATES = 64;
+/** Recent updates retained, so that subscribers rarely need the whole table. */
+const RETAINED_UPDATE_COUNT = 64;
 
-type PartialUpdate = TableUpdate & {readonly after: number};
+type IncrementalUpdate = TableUpdate & {readonly after: number};
 
-/** Creates a copy that knows nothing. */
+/** Creates an empty copy without a version. */
 export function createTableCopy(options: TableCopyOptions): TableCopy {
-  const {table, knownWithin} = options;
+  const {table, knownWithin: bound} = options;
   const rows = new Map<string, StoredRow>();
-  /** Updates without a gap between them, the last one to this version. */
-  let kept: PartialUpdate[] = [];
+  /** Consecutive updates without a gap, up to the current version. */
+  let retainedUpdates: IncrementalUpdate[] = [];
   let version: number | undefined;
 
-  function put(changed: readonly StoredRow[]): void {
+  function applyRows(changed: readonly StoredRow[]): void {
     for (const row of changed) {
       if (row.isRemoved) {
         rows.delete(row.key);
@@ -57,22 +61,24 @@
   }
 
   function take(update: TableUpdate): boolean {
-    const isWhole = update.after === undefined;
-    if (!isWhole && (version === undefined || update.after > version)) {
+    const isFullUpdate = update.after === undefined;
+    if (!isFullUpdate && (version === undefined || update.after > version)) {
       return false;
     }
     if (version !== undefined && update.version <= version) {
       return true;
     }
-    if (isWhole || version === undefined) {
+    if (isFullUpdate || version === undefined) {
       rows.clear();
-      kept = [];
+      retainedUpdates = [];
     } else {
-      kept = [...kept, {...update, after: version}].slice(-KEPT_UPDATES);
+      retainedUpdates = [...retainedUpdates, {...update, after: version}].slice(
+        -RETAINED_UPDATE_COUNT,
+      );
     }
-    put(update.rows);
+    applyRows(update.rows);
     version = update.version;
-    if (isWhole || update.rows.length > 0) {
+    if (isFullUpdate || update.rows.length > 0) {
       options.onRows(rows);
     }
     return true;
@@ -82,11 +88,11 @@
     if (version === undefined || (after !== undefined && after >= version)) {
       return undefined;
     }
-    const first = kept[0]?.after ?? version;
+    const first = retainedUpdates[0]?.after ?? version;
     if (after === undefined || after < first) {
       return {table, version, rows: [...rows.values()]};
     }
-    const missing = kept.filter(update => update.version > after);
+    const missing = retainedUpdates.filter(update => update.version > after);
     return {
       table,
       after,
@@ -97,7 +103,7 @@
 
   return {
     table,
-    knownWithin,
+    knownWithin: bound,
     rows: () => rows,
     version: () => version,
     take,
