--- a/packages/membership/__tests__/create_membership.spec.ts
+++ b/packages/membership/__tests__/create_membership.spec.ts
@@ -3,9 +3,9 @@
 
 import {FakeProxy, createFakeNetwork, liveIds} from './fake_network';
 
-const DETECTION_LIMIT = 1000;
+const DETECTION_TIMEOUT_MS = 1000;
 
-/** Eight proxies that have found each other. */
+/** Creates eight proxies that have discovered each other. */
 function createCluster(seed = 1) {
   const network = createFakeNetwork(seed);
   const proxies = network.addMany(8);
@@ -21,14 +21,17 @@
   return proxy;
 }
 
-/** True if each of some proxies believes just these to be alive. */
-function allSee(proxies: readonly FakeProxy[], ids: readonly string[]) {
+/** True if each proxy considers exactly the proxies with these ids alive. */
+function allConsiderLive(
+  proxies: readonly FakeProxy[],
+  ids: readonly string[],
+) {
   const wanted = [...ids].sort().join();
   return proxies.every(proxy => liveIds(proxy).join() === wanted);
 }
 
 describe('membership of eight proxies', () => {
-  test('finds everybody from two seeds', () => {
+  test('discovers all proxies from two seeds', () => {
     const {proxies, all} = createCluster();
     expect(proxies.map(liveIds)).toEqual(proxies.map(() => all));
     expect(proxies.every(each => each.membership.joined.isSettled())).toEqual(
@@ -36,8 +39,8 @@
     );
   });
 
-  test('finds a killed, a frozen and a cut-off proxy dead within a second', () => {
-    for (const loss of ['killed', 'frozen', 'cut'] as const) {
+  test('detects a killed, frozen or partitioned proxy within a second', () => {
+    for (const loss of ['killed', 'frozen', 'partitioned'] as const) {
       for (let seed = 1; seed <= 20; seed++) {
         const {network, proxies, all} = createCluster(seed);
         const lost = at(proxies, seed % 8);
@@ -46,60 +49,60 @@
         } else if (loss === 'frozen') {
           network.freeze(lost);
         } else {
-          network.state.isCut = (from, to) =>
+          network.state.isPartitioned = (from, to) =>
             from === lost.address || to === lost.address;
         }
         const others = proxies.filter(proxy => proxy !== lost);
         const rest = all.filter(id => id !== lost.address);
         const seen = network.timer.runUntil(
-          () => allSee(others, rest),
-          DETECTION_LIMIT,
+          () => allConsiderLive(others, rest),
+          DETECTION_TIMEOUT_MS,
         );
         expect([loss, seed, seen]).toEqual([loss, seed, true]);
       }
     }
   });
 
-  test('keeps a proxy that one other cannot reach', () => {
+  test('keeps a proxy that only one other proxy cannot reach', () => {
     const {network, proxies, all} = createCluster();
-    network.state.isCut = (from, to) =>
+    network.state.isPartitioned = (from, to) =>
       [from, to].includes('p1') && [from, to].includes('p2');
     for (let step = 0; step < 300; step++) {
       network.timer.advance(100);
-      expect([step, allSee(proxies, all)]).toEqual([step, true]);
+      expect([step, allConsiderLive(proxies, all)]).toEqual([step, true]);
     }
   });
 
-  test('splits with the network and joins again when it heals', () => {
+  test('splits during a network partition and merges after it', () => {
     const {network, proxies, all} = createCluster();
     const east = new Set(['p0', 'p3', 'p6']);
-    network.state.isCut = (from, to) => east.has(from) !== east.has(to);
+    network.state.isPartitioned = (from, to) => east.has(from) !== east.has(to);
     network.timer.advance(5000);
     const eastern = proxies.filter(({address}) => east.has(address));
     const others = proxies.filter(({address}) => !east.has(address));
-    expect(allSee(eastern, [...east])).toEqual(true);
+    expect(allConsiderLive(eastern, [...east])).toEqual(true);
     expect(
-      allSee(
+      allConsiderLive(
         others,
         all.filter(id => !east.has(id)),
       ),
     ).toEqual(true);
-    network.state.isCut = () => false;
-    expect(network.timer.runUntil(() => allSee(proxies, all), 5000)).toEqual(
-      true,
-    );
+    network.state.isPartitioned = () => false;
+    expect(
+      network.timer.runUntil(() => allConsiderLive(proxies, all), 5000),
+    ).toEqual(true);
   });
 
-  test('takes back a proxy that was frozen and resumes', () => {
+  test('includes a frozen proxy again after it resumes', () => {
     const {network, proxies, all} = createCluster();
     const frozen = at(proxies, 5);
     network.freeze(frozen);
     network.timer.advance(3000);
     expect(liveIds(at(proxies, 0)).includes('p5')).toEqual(false);
     network.thaw(frozen);
-    expect(network.timer.runUntil(() => allSee(proxies, all), 5000)).toEqual(
-      true,
-    );
+    expect(
+      network.timer.runUntil(() => allConsiderLive(proxies, all), 5000),
+    ).toEqual(true);
   });
 
   test('replaces a process by its successor at the same address', () => {
@@ -110,7 +113,7 @@
     const now = proxies.map((proxy, index) =>
       index === 4 ? successor : proxy,
     );
-    expect(allSee(now, all)).toEqual(true);
+    expect(allConsiderLive(now, all)).toEqual(true);
     const seen = at(proxies, 0).membership.liveProxies();
     const incarnations = seen
       .filter(({proxy}) => proxy === 'p4')
@@ -118,7 +121,7 @@
     expect(incarnations).toEqual([successor.membership.self.incarnation]);
   });
 
-  test('gives a stopping proxy no responsibility, by itself or by the list', () => {
+  test('excludes proxies that announce their stop or are listed as leaving', () => {
     const {network, proxies} = createCluster();
     at(proxies, 3).membership.leave();
     at(proxies, 0).membership.noteInstances([
@@ -134,12 +137,12 @@
     ]);
     network.timer.advance(300);
     const rest = ['p0', 'p1', 'p2', 'p4', 'p5', 'p7'];
-    expect(allSee(proxies, rest)).toEqual(true);
+    expect(allConsiderLive(proxies, rest)).toEqual(true);
     network.timer.advance(10_000);
-    expect(allSee(proxies, rest)).toEqual(true);
+    expect(allConsiderLive(proxies, rest)).toEqual(true);
   });
 
-  test('never takes a listed instance for alive before it answers', () => {
+  test('does not consider a listed instance alive before it answers', () => {
     const {network, proxies, all} = createCluster();
     at(proxies, 0).membership.noteInstances([
       {
@@ -151,10 +154,10 @@
       },
     ]);
     network.timer.advance(5000);
-    expect(allSee(proxies, all)).toEqual(true);
+    expect(allConsiderLive(proxies, all)).toEqual(true);
   });
 
-  test('finds a proxy without seeds through the platform list', () => {
+  test('discovers a proxy without seeds through the platform list', () => {
     const {network, proxies, all} = createCluster();
     const ninth = network.add('p8', 'east', []);
     at(proxies, 0).membership.noteInstances([
@@ -167,10 +170,10 @@
       },
     ]);
     network.timer.advance(3000);
-    expect(allSee([...proxies, ninth], [...all, 'p8'])).toEqual(true);
+    expect(allConsiderLive([...proxies, ninth], [...all, 'p8'])).toEqual(true);
   });
 
-  test('carries leaderships, leaving targets and manifest versions', () => {
+  test('distributes leaderships, leaving targets and manifest versions', () => {
     const {network, proxies} = createCluster();
     const leadership = {group: 'g', term: 65_537, primary: 'g-2'};
     const target = {id: 'g-1', address: '10.0.0.1:1'};
@@ -189,7 +192,7 @@
     }
     const heard = proxies
       .slice(1)
-      .filter(each => each.heardManifests.includes(7));
+      .filter(each => each.receivedManifestVersions.includes(7));
     expect(heard.length).toBeGreaterThan(2);
     network.timer.advance(120_000);
     expect(first.membership.isTargetLeaving(target)).toEqual(false);
--- a/packages/membership/__tests__/fake_network.ts
+++ b/packages/membership/__tests__/fake_network.ts
@@ -1,4 +1,7 @@
-/** Memberships over a network in memory, with cuts, deaths and byte counts. */
+/**
+ * Memberships over an in-memory network with partitions, failures and byte
+ * counts.
+ */
 import {
   Failure,
   GroupLeadership,
@@ -6,7 +9,7 @@
   createFailure,
   peerStateSchema,
 } from '@kelpstep/protocol';
-import {createHandlerTable, type RpcPeer} from '@kelpstep/rpc';
+import {type RpcPeer, createHandlerTable} from '@kelpstep/rpc';
 import {
   Future,
   Runtime,
@@ -21,20 +24,22 @@
 import {RunningMembership, createMembership} from '..';
 
 const DATA_CENTRES = ['east', 'west', 'south'];
-const LATENCY = 6;
+const LATENCY_MS = 6;
 
-/** How a process is: a `frozen` one does nothing until it is thawed. */
+/** State of a process: a `frozen` one does nothing until it is thawed. */
 export type Health = 'running' | 'frozen' | 'killed';
 
-/** A timer whose listeners wait while their process is frozen. */
+/**
+ * Creates a timer whose listeners are deferred while their process is frozen.
+ */
 function createFreezableTimer(timer: TimerService) {
   let isFrozen = false;
-  const missed: Array<() => void> = [];
+  const deferredListeners: Array<() => void> = [];
 
-  function guard(listener: () => void): () => void {
+  function deferWhileFrozen(listener: () => void): () => void {
     return () => {
       if (isFrozen) {
-        missed.push(listener);
+        deferredListeners.push(listener);
       } else {
         listener();
       }
@@ -43,28 +48,28 @@
   return {
     ...timer,
     after: (delay: number, listener: () => void) =>
-      timer.after(delay, guard(listener)),
+      timer.after(delay, deferWhileFrozen(listener)),
     every: (period: number, listener: () => void) =>
-      timer.every(period, guard(listener)),
-    /** Runs something as the process would: later, if it is frozen. */
-    run: (action: () => void) => guard(action)(),
+      timer.every(period, deferWhileFrozen(listener)),
+    /** Runs an action of the process, deferred while it is frozen. */
+    run: (action: () => void) => deferWhileFrozen(action)(),
     freeze() {
       isFrozen = true;
     },
     thaw() {
       isFrozen = false;
-      missed.splice(0).forEach(listener => listener());
+      deferredListeners.splice(0).forEach(listener => listener());
     },
   };
 }
 
-/** A proxy of the network. */
+/** A proxy in the network. */
 export interface FakeProxy {
   readonly address: string;
   readonly membership: RunningMembership;
   readonly runtime: Runtime;
   readonly timer: ReturnType<typeof createFreezableTimer>;
-  readonly heardManifests: number[];
+  readonly receivedManifestVersions: number[];
   readonly leaderships: Map<string, GroupLeadership>;
   manifestVersion: number;
   health: Health;
@@ -72,13 +77,15 @@
   exchangesSent: number;
 }
 
-/** A network of proxies in virtual time. */
+/** Creates a network of proxies in virtual time. */
 export function createFakeNetwork(seed = 1, checksSchema = true) {
   const timer = createVirtualTimer();
   const random = createRandom(seed);
   const proxies = new Map<string, FakeProxy>();
   /** True if messages from one address to another are lost. */
-  const state = {isCut: (unusedFrom: string, unusedTo: string) => false};
+  const state = {
+    isPartitioned: (unusedFrom: string, unusedTo: string) => false,
+  };
   const unusedPeer = {} as RpcPeer;
 
   function encode(value: PeerState): string {
@@ -102,16 +109,16 @@
         sender.bytesSent += text.length;
         sender.exchangesSent++;
       }
-      timer.after(LATENCY, () => {
+      timer.after(LATENCY_MS, () => {
         const receiver = proxies.get(to);
-        if (state.isCut(from, to)) {
+        if (state.isPartitioned(from, to)) {
           return;
         }
         if (receiver === undefined || receiver.health === 'killed') {
           const refused = createFailure('OUTCOME_UNKNOWN', {
             outcome: 'not_run',
           });
-          timer.after(LATENCY, () => reply.settle(Err(refused)));
+          timer.after(LATENCY_MS, () => reply.settle(Err(refused)));
         } else {
           receiver.timer.run(() =>
             answer(receiver, decode(text), from, reply.settle),
@@ -124,21 +131,23 @@
 
   function answer(
     receiver: FakeProxy,
-    asked: PeerState,
+    request: PeerState,
     from: string,
     settle: (reply: Result<PeerState, Failure>) => void,
   ): void {
     const handlers = createHandlerTable();
     receiver.membership.serve(handlers);
-    handlers.dispatch('peer.exchange', asked, unusedPeer).onSettled(result => {
-      const text = result.ok ? JSON.stringify(result.val) : '';
-      receiver.bytesSent += text.length;
-      timer.after(LATENCY, () => {
-        if (!state.isCut(receiver.address, from) && result.ok) {
-          settle(Ok(decode(text)));
-        }
+    handlers
+      .dispatch('peer.exchange', request, unusedPeer)
+      .onSettled(result => {
+        const text = result.ok ? JSON.stringify(result.val) : '';
+        receiver.bytesSent += text.length;
+        timer.after(LATENCY_MS, () => {
+          if (!state.isPartitioned(receiver.address, from) && result.ok) {
+            settle(Ok(decode(text)));
+          }
+        });
       });
-    });
   }
 
   function add(
@@ -149,7 +158,7 @@
   ): FakeProxy {
     const ownTimer = createFreezableTimer(timer);
     const runtime = createRuntime({timer: ownTimer, random: random.split()});
-    const heardManifests: number[] = [];
+    const receivedManifestVersions: number[] = [];
     const leaderships = new Map<string, GroupLeadership>();
     const membership = createMembership({
       runtime,
@@ -164,14 +173,14 @@
       hooks: {
         ready: () => true,
         manifestVersion: () => proxy.manifestVersion,
-        heardManifest: version => heardManifests.push(version),
+        heardManifest: version => receivedManifestVersions.push(version),
         heardLeadership(leadership) {
           const known = leaderships.get(leadership.group)?.term ?? 0;
-          const isNews = leadership.term > known;
-          if (isNews) {
+          const isNew = leadership.term > known;
+          if (isNew) {
             leaderships.set(leadership.group, leadership);
           }
-          return isNews;
+          return isNew;
         },
       },
     });
@@ -180,7 +189,7 @@
       membership,
       runtime,
       timer: ownTimer,
-      heardManifests,
+      receivedManifestVersions,
       leaderships,
       manifestVersion: 1,
       health: 'running',
@@ -217,12 +226,12 @@
   return {timer, state, add, addMany, kill, freeze, thaw};
 }
 
-/** Data centre of the n-th proxy. */
+/** Data centre of the proxy with an index. */
 export function dataCentreOf(index: number): string {
   return DATA_CENTRES[index % DATA_CENTRES.length] ?? '';
 }
 
-/** Ids of the proxies that one believes to be alive, sorted. */
+/** Sorted ids of the proxies that one proxy considers alive. */
 export function liveIds({membership}: FakeProxy): string[] {
   return membership
     .liveProxies()
--- a/packages/membership/__tests__/gossip_queue.spec.ts
+++ b/packages/membership/__tests__/gossip_queue.spec.ts
@@ -5,7 +5,7 @@
 import {createGossipQueue} from '../src/gossip_queue';
 
 describe('a gossip queue', () => {
-  test('sends what was sent least first, a bounded number of times', () => {
+  test('sends the least often sent items first, a bounded number of times', () => {
     const timer = createVirtualTimer();
     const queue = createGossipQueue<string>({
       timer,
--- a/packages/membership/__tests__/idempotent_request.spec.ts
+++ b/packages/membership/__tests__/idempotent_request.spec.ts
@@ -16,7 +16,9 @@
 const echo = defineMethod('echo', z.string(), z.string());
 const FAILURE = createFailure('NOT_READY');
 
-/** Sends a request whose attempts end as told; gives its end and attempts. */
+/**
+ * Sends a request whose attempts end as given; returns its ends and attempts.
+ */
 function send(kinds: ReadonlyArray<RequestFailure['kind'] | 'answer'>) {
   const timer = createVirtualTimer();
   const runtime = createRuntime({timer, random: createRandom(1)});
@@ -50,17 +52,17 @@
 }
 
 describe('an idempotent request to a peer', () => {
-  test('is sent again after a silent or closed connection', () => {
+  test('is sent again after an unresponsive or closed connection', () => {
     expect(send(['answer'])).toEqual({attempts: 1, ends: ['hello at 1']});
     expect(send(['timeout', 'answer']).ends).toEqual(['hello at 151']);
     expect(send(['closed', 'answer']).ends).toEqual(['hello at 2']);
   });
 
-  test('ends within its timeout if the peer stays silent', () => {
+  test('ends within its timeout if the peer stays unresponsive', () => {
     expect(send([])).toEqual({attempts: 2, ends: ['NOT_READY at 300']});
   });
 
-  test('is not repeated once the peer has refused', () => {
+  test('is not repeated after the peer has refused it', () => {
     expect(send(['refused']).attempts).toEqual(1);
   });
 });
--- a/packages/membership/__tests__/instance_watch.spec.ts
+++ b/packages/membership/__tests__/instance_polling.spec.ts
@@ -16,17 +16,17 @@
   {id: 'a', role: 'target', address: 'x', dataCentre: 'd', state: 'leaving'},
 ];
 
-describe('the watch of the list of instances', () => {
-  test('reads only while it is this proxy that polls, and outlives outages', () => {
+describe('polling of the instance list', () => {
+  test('runs only while this proxy is responsible and continues after outages', () => {
     const timer = createVirtualTimer();
     const runtime = createRuntime({timer, random: createRandom(1)});
-    const state = {polls: true, isOut: false, reads: 0};
+    const state = {polls: true, isUnavailable: false, reads: 0};
     const seen: Array<readonly ListedInstance[]> = [];
-    const out = Err(createFailure('PLATFORM_UNAVAILABLE'));
+    const unavailable = Err(createFailure('PLATFORM_UNAVAILABLE'));
     const platform: Pick<PlatformClient, 'listInstances'> = {
       listInstances() {
         state.reads++;
-        return settledFuture(state.isOut ? out : Ok(LIST));
+        return settledFuture(state.isUnavailable ? unavailable : Ok(LIST));
       },
     };
     startInstanceWatch({
@@ -38,7 +38,7 @@
     });
     timer.advance(1000);
     expect(seen.length).toBeGreaterThan(7);
-    state.isOut = true;
+    state.isUnavailable = true;
     seen.length = 0;
     timer.advance(1000);
     expect(seen.length).toEqual(0);
@@ -48,7 +48,7 @@
     timer.advance(1000);
     expect(state.reads).toEqual(0);
     state.polls = true;
-    state.isOut = false;
+    state.isUnavailable = false;
     timer.advance(300);
     expect(seen[0]).toEqual(LIST);
   });
--- a/packages/membership/__tests__/rendezvous.spec.ts
+++ b/packages/membership/__tests__/rendezvous.spec.ts
@@ -43,24 +43,24 @@
         counts.set(proxy, (counts.get(proxy) ?? 0) + 1);
       }
     }
-    // 1,000 each if it were even.
+    // An even distribution gives each proxy 1,000 names.
     expect(Math.min(...counts.values())).toBeGreaterThan(880);
     expect(Math.max(...counts.values())).toBeLessThan(1120);
   });
 
-  test('tells each proxy whether it is picked', () => {
+  test('agrees with the check whether a single proxy is picked', () => {
     for (const count of [1, 3, 5]) {
       for (const name of NAMES.slice(0, 200)) {
         const picked = pickResponsible(name, CANDIDATES, count);
-        const told = IDENTITIES.filter(identity =>
+        const selfPicked = IDENTITIES.filter(identity =>
           isPicked(name, CANDIDATES, count, identity),
         );
-        expect(new Set(told)).toEqual(new Set(picked));
+        expect(new Set(selfPicked)).toEqual(new Set(picked));
       }
     }
   });
 
-  test('moves only the names of a proxy that is lost', () => {
+  test('moves only the names of a removed proxy', () => {
     const [lost, ...others] = IDENTITIES;
     const rest = createCandidateSet(others);
     for (const name of NAMES.slice(0, 500)) {
--- a/packages/membership/__tests__/short_exchange.spec.ts
+++ b/packages/membership/__tests__/short_exchange.spec.ts
@@ -15,7 +15,12 @@
 import {describe, test} from 'node:test';
 import {Err, Ok} from 'ts-results';
 
-import {IdempotentRequest, createShortExchange, lengthen, shorten} from '..';
+import {
+  IdempotentRequest,
+  createShortExchange,
+  expandState,
+  shortenState,
+} from '..';
 
 function stateOf(proxy: string): PeerState {
   return {
@@ -29,49 +34,55 @@
   };
 }
 
-/** A partner at one address that counts methods and may refuse short ones. */
-function createPartner() {
-  const partner = {
+/**
+ * Creates a peer that records requested methods and may refuse the short form.
+ */
+function createPeer() {
+  const peer = {
     name: 'b',
     refusal: undefined as ErrorName | undefined,
     asked: [] as string[],
   };
-  const ask = ((address: string, method: {name: string}) => {
-    partner.asked.push(method.name);
+  const sendRequest = ((address: string, method: {name: string}) => {
+    peer.asked.push(method.name);
     const isShort = method.name === peerShortExchange.name;
-    if (isShort && partner.refusal !== undefined) {
-      return settledFuture(Err(createFailure(partner.refusal)));
+    if (isShort && peer.refusal !== undefined) {
+      return settledFuture(Err(createFailure(peer.refusal)));
     }
-    const state = stateOf(partner.name);
-    return settledFuture(Ok(isShort ? shorten(state) : state));
+    const state = stateOf(peer.name);
+    return settledFuture(Ok(isShort ? shortenState(state) : state));
   }) as IdempotentRequest;
   const timer = createVirtualTimer();
   const runtime = createRuntime({timer, random: createRandom(1)});
-  const exchange = createShortExchange({runtime, ask, timeout: 100});
+  const exchange = createShortExchange({
+    runtime,
+    ask: sendRequest,
+    timeout: 100,
+  });
 
   function exchangeOnce() {
-    partner.asked = [];
+    peer.asked = [];
     let reply: PeerState | Error | undefined;
     exchange('b:1', stateOf('a')).onSettled(result => {
       reply = result.ok ? result.val : new Error(result.val.name);
     });
     timer.advance(1);
-    return {reply, asked: partner.asked};
+    return {reply, asked: peer.asked};
   }
-  return {partner, exchangeOnce};
+  return {peer, exchangeOnce};
 }
 
 describe('a short state', () => {
-  test('stands for the whole state', () => {
+  test('expands to the full state', () => {
     const state = stateOf('a');
-    const parsed = shortPeerStateSchema.parse(shorten(state));
-    expect(lengthen(parsed, state.from)).toEqual(state);
+    const parsed = shortPeerStateSchema.parse(shortenState(state));
+    expect(expandState(parsed, state.from)).toEqual(state);
   });
 });
 
 describe('an exchange', () => {
-  test('is full at first and short from then on, with the same answer', () => {
-    const {exchangeOnce} = createPartner();
+  test('is full at first and short afterwards, with the same reply', () => {
+    const {exchangeOnce} = createPeer();
     const first = exchangeOnce();
     const second = exchangeOnce();
     expect(first.asked).toEqual(['peer.exchange']);
@@ -79,11 +90,11 @@
     expect(second.reply).toEqual(first.reply);
   });
 
-  test('is full with a partner that refuses the short form', () => {
+  test('is full with a peer that refuses the short form', () => {
     for (const refusal of ['INVALID_PARAMETERS', 'METHOD_NOT_FOUND'] as const) {
-      const {partner, exchangeOnce} = createPartner();
+      const {peer, exchangeOnce} = createPeer();
       exchangeOnce();
-      partner.refusal = refusal;
+      peer.refusal = refusal;
       const {asked, reply} = exchangeOnce();
       expect(asked).toEqual(['peer.short', 'peer.exchange']);
       expect(reply).toEqual(stateOf('b'));
@@ -91,18 +102,18 @@
   });
 
   test('is full when another process answers at the address', () => {
-    const {partner, exchangeOnce} = createPartner();
+    const {peer, exchangeOnce} = createPeer();
     exchangeOnce();
-    partner.name = 'c';
+    peer.name = 'c';
     const {asked, reply} = exchangeOnce();
     expect(asked).toEqual(['peer.short', 'peer.exchange']);
     expect(reply).toEqual(stateOf('c'));
   });
 
-  test('that gets no answer fails, and the next is full', () => {
-    const {partner, exchangeOnce} = createPartner();
+  test('fails without a reply, and the next one is full', () => {
+    const {peer, exchangeOnce} = createPeer();
     exchangeOnce();
-    partner.refusal = 'OUTCOME_UNKNOWN';
+    peer.refusal = 'OUTCOME_UNKNOWN';
     expect(exchangeOnce().asked).toEqual(['peer.short']);
     expect(exchangeOnce().asked).toEqual(['peer.exchange']);
   });
--- a/packages/membership/index.ts
+++ b/packages/membership/index.ts
@@ -1,14 +1,14 @@
-/** Which proxies live, and which of them are responsible for what. */
+/** Live proxies and the responsibilities among them. */
 export * from './src/create_membership';
 export type {PeerExchange} from './src/exchanges';
 export * from './src/idempotent_request';
-export * from './src/instance_watch';
-export * from './src/knowledge';
+export * from './src/instance_polling';
+export * from './src/gossip_state';
 export * from './src/membership';
-export * from './src/pace';
+export * from './src/gossip_timing';
 export {
   type CandidateSet,
-  type PlacedProxy,
+  type LocatedProxy,
   createCandidateSet,
   pickResponsible,
 } from './src/rendezvous';
--- a/packages/membership/src/create_membership.ts
+++ b/packages/membership/src/create_membership.ts
@@ -1,9 +1,10 @@
 /**
- * Membership by gossip in the manner of SWIM: each proxy exchanges state with
- * the next two on a ring of hashes and with random others; a proxy that does
- * not answer is suspected and may refute; news travels with every exchange.
- * Views are complete, since responsibility is hashed over all proxies; cost
- * stays bounded because only changes are sent. See docs/decisions.
+ * SWIM-style gossip membership. Each proxy exchanges state with its next two
+ * proxies on a ring of hashes and with random others. A proxy that does not
+ * answer is suspected and may refute the suspicion. Every exchange carries
+ * updates. Views are complete because responsibility is hashed over all
+ * proxies; the cost stays bounded because only changes are sent. See
+ * docs/decisions.
  */
 import {
   GroupLeadership,
@@ -15,11 +16,15 @@
 import type {HandlerTable} from '@kelpstep/rpc';
 import {Future, Runtime, Task, createDeferred, sleep} from '@kelpstep/runtime';
 import {PeerExchange, createExchanges} from './exchanges';
-import {MembershipHooks, createKnowledge} from './knowledge';
+import {randomPeers, ringSuccessors} from './gossip_peers';
+import {MembershipHooks, createGossipState} from './gossip_state';
+import {
+  BaseGossipTiming,
+  GossipTimingPolicy,
+  proportionalPace,
+} from './gossip_timing';
 import {memberKey} from './member_table';
 import type {Membership} from './membership';
-import {PaceBase, PacePolicy, proportionalPace} from './pace';
-import {nextOnRing, randomOthers} from './partners';
 import {
   CandidateSet,
   createCandidateSet,
@@ -29,7 +34,7 @@
 } from './rendezvous';
 import {serveExchanges} from './serve_exchanges';
 
-/** What a membership is made of. */
+/** Dependencies and settings of a membership. */
 export interface MembershipOptions {
   readonly runtime: Runtime;
   readonly self: ProxyIdentity;
@@ -37,90 +42,92 @@
   readonly seeds: readonly string[];
   readonly exchange: PeerExchange;
   readonly hooks: MembershipHooks;
-  readonly paceBase?: PaceBase;
-  readonly pacePolicy?: PacePolicy;
+  readonly paceBase?: BaseGossipTiming;
+  readonly pacePolicy?: GossipTimingPolicy;
 }
 
-/** Membership with what only the wiring uses. */
+/** Membership with the operations that only the proxy's wiring uses. */
 export interface RunningMembership extends Membership {
-  /** Starts to look for peers and to send heartbeats. */
+  /** Starts discovering peers and sending heartbeats. */
   start(): void;
-  /** Settles once a peer's view was taken, or no seed has answered. */
+  /** Settles once a peer's view was received or no seed has answered. */
   readonly joined: Future<void>;
-  /** Tells the others that this proxy stops; it keeps answering them. */
+  /** Announces that this proxy stops; it keeps answering its peers. */
   leave(): void;
-  /** Spreads a change of leadership that this proxy knows first. */
+  /** Distributes a change of leadership that originates at this proxy. */
   announceLeadership(leadership: GroupLeadership): void;
-  /** Exchanges with some peers soon, for example after a new manifest. */
+  /**
+   * Starts exchanges with some peers soon, for example after a new manifest.
+   */
   spread(): void;
-  /** Learns from the platform's list, which lags. */
+  /** Applies the platform's list of instances, which may be out of date. */
   noteInstances(instances: readonly ListedInstance[]): void;
-  /** True if the platform's list calls a target leaving, as heard lately. */
+  /** True if the platform's list recently showed a target as leaving. */
   isTargetLeaving(target: LeavingTarget): boolean;
   /**
-   * A proxy that is not known to be dead, also while it stops; undefined for
-   * others.
+   * A proxy that is not known to be dead, even if it is stopping; undefined
+   * otherwise.
    */
   find(proxy: string, incarnation: string): ProxyIdentity | undefined;
-  /** Serves `peer.exchange` and its short form. */
+  /** Registers handlers for `peer.exchange` and its short form. */
   serve(handlers: HandlerTable): void;
 }
 
-/** The pace of few proxies by default. */
-export const DEFAULT_PACE_BASE: PaceBase = {
+/** Default timing of a small cluster. */
+export const DEFAULT_BASE_TIMING: BaseGossipTiming = {
   interval: 200,
   exchangeTimeout: 300,
   suspicionTime: 400,
 };
 
-const FIXED_PARTNERS = 2;
-const INTERVAL_JITTER = 0.1;
-/** News that comes together is spread together. */
-const BURST_DELAY = 5;
-/** Suspects are asked by about this many proxies besides their accuser. */
-const VERIFIERS = 3;
-const DEAD_MEMORY = 300_000;
-/** Heartbeats between two looks at addresses where no peer is known. */
-const TICKS_PER_DISCOVERY = 5;
+const RING_PEER_COUNT = 2;
+const INTERVAL_JITTER_RATIO = 0.1;
+/** Batches updates that arrive together into one burst of exchanges. */
+const BURST_DELAY_MS = 5;
+/** Average number of additional proxies that verify a suspicion. */
+const VERIFIER_COUNT = 3;
+const DEAD_RETENTION_MS = 300_000;
+/** Heartbeats between two attempts to discover peers at unknown addresses. */
+const HEARTBEATS_PER_DISCOVERY = 5;
 
-/** Creates a membership that knows only this proxy and its seeds. */
+/** Creates a stopped membership that knows only this proxy and its seeds. */
 export function createMembership(
   options: MembershipOptions,
 ): RunningMembership {
   const {runtime, self} = options;
   const {timer, random} = runtime;
-  const paceBase = options.paceBase ?? DEFAULT_PACE_BASE;
-  const pacePolicy = options.pacePolicy ?? proportionalPace;
+  const baseTiming = options.paceBase ?? DEFAULT_BASE_TIMING;
+  const timingPolicy = options.pacePolicy ?? proportionalPace;
   const listeners = new Set<() => void>();
   const joined = createDeferred<void>();
   let listedAddresses: readonly string[] = [];
-  let live: readonly ProxyIdentity[] | undefined;
+  let cachedLiveProxies: readonly ProxyIdentity[] | undefined;
   let candidates: CandidateSet | undefined;
-  let burstIsDue = false;
+  let isBurstPending = false;
   let lastBurstAt = -Infinity;
 
-  const knowledge = createKnowledge({
+  const gossipState = createGossipState({
     runtime,
     self,
     hooks: options.hooks,
-    pace,
-    onNews: spread,
-    onChange: notify,
+    timing,
+    onUpdates: scheduleBurst,
+    onChange: notifyListeners,
   });
-  const {table, selfKey} = knowledge;
+  const {table, selfKey} = gossipState;
   const exchanges = createExchanges({
     runtime,
-    knowledge,
+    gossipState,
     exchange: options.exchange,
-    pace,
+    timing,
   });
 
-  function pace() {
-    return pacePolicy(knowledge.table.present().length, paceBase);
+  function timing() {
+    return timingPolicy(gossipState.table.present().length, baseTiming);
   }
 
-  function notify(): void {
-    live = undefined;
+  function notifyListeners(): void {
+    cachedLiveProxies = undefined;
     candidates = undefined;
     for (const listener of [...listeners]) {
       listener();
@@ -128,57 +135,63 @@
   }
 
   function liveProxies(): readonly ProxyIdentity[] {
-    live ??= table
+    cachedLiveProxies ??= table
       .present()
       .filter(({update}) => !update.leaving)
       .map(({update}) => update.proxy);
-    return live;
+    return cachedLiveProxies;
   }
 
-  function eligible(dataCentre?: string): CandidateSet {
+  function candidatesFrom(dataCentre?: string): CandidateSet {
     candidates ??= createCandidateSet(liveProxies());
     return dataCentre === undefined
       ? candidates
       : onlyFrom(candidates, dataCentre);
   }
 
-  function contactRandom(count: number): void {
-    const others = randomOthers(
+  function exchangeWithRandomPeers(count: number): void {
+    const others = randomPeers(
       table.present(),
       new Set([selfKey]),
       count,
       random,
     );
-    others.forEach(exchanges.contact);
+    others.forEach(exchanges.startExchange);
   }
 
-  function spread(): void {
-    if (!burstIsDue) {
-      burstIsDue = true;
+  function scheduleBurst(): void {
+    if (!isBurstPending) {
+      isBurstPending = true;
       runtime.spawn('spread news', burst());
     }
   }
 
   function* burst(): Task<void> {
-    const gap = lastBurstAt + pace().eagerGap - timer.now();
-    yield* sleep(Math.max(gap, random.jitter(BURST_DELAY, 1)));
-    burstIsDue = false;
+    const delay = lastBurstAt + timing().minimumBurstInterval - timer.now();
+    yield* sleep(Math.max(delay, random.jitter(BURST_DELAY_MS, 1)));
+    isBurstPending = false;
     lastBurstAt = timer.now();
-    nextOnRing(table.present(), selfKey, 1).forEach(exchanges.contact);
-    contactRandom(pace().eagerRandomPartners);
+    ringSuccessors(table.present(), selfKey, 1).forEach(
+      exchanges.startExchange,
+    );
+    exchangeWithRandomPeers(timing().randomPeersPerBurst);
     verifySuspects();
   }
 
-  /** Lets suspects refute through others than their accuser. */
+  /**
+   * Lets suspects refute through proxies other than the one that suspects them.
+   */
   function verifySuspects(): void {
     const suspects = table
       .present()
       .filter(({update}) => update.condition === 'suspect');
-    const share = VERIFIERS / table.present().length;
-    suspects.filter(() => random.fraction() < share).forEach(exchanges.contact);
+    const probability = VERIFIER_COUNT / table.present().length;
+    suspects
+      .filter(() => random.fraction() < probability)
+      .forEach(exchanges.startExchange);
   }
 
-  /** Addresses where a peer may be that this proxy doesn't know. */
+  /** Addresses at which there may be an unknown peer. */
   function unknownAddresses(): string[] {
     const known = new Set(
       table.present().map(({update}) => update.proxy.address),
@@ -198,7 +211,7 @@
       : yield* exchanges.exchangeWith({address: random.pick(addresses)});
   }
 
-  /** Takes the view of the first seed that answers. */
+  /** Requests the view of the first seed that answers. */
   function* join(): Task<void> {
     for (const address of unknownAddresses()) {
       const reply = yield* exchanges.exchangeWith({address});
@@ -211,21 +224,24 @@
   }
 
   function* sendHeartbeats(): Task<void> {
-    for (let tick = 0; ; tick++) {
-      const {interval, ticksPerRandomPartner} = pace();
-      yield* sleep(random.jitter(interval, INTERVAL_JITTER));
-      nextOnRing(table.present(), selfKey, FIXED_PARTNERS).forEach(
-        exchanges.contact,
+    for (let count = 0; ; count++) {
+      const {interval, heartbeatsPerRandomPeer} = timing();
+      yield* sleep(random.jitter(interval, INTERVAL_JITTER_RATIO));
+      ringSuccessors(table.present(), selfKey, RING_PEER_COUNT).forEach(
+        exchanges.startExchange,
       );
-      if (tick % ticksPerRandomPartner === 0) {
-        contactRandom(1);
+      if (count % heartbeatsPerRandomPeer === 0) {
+        exchangeWithRandomPeers(1);
       }
-      if (tick % TICKS_PER_DISCOVERY === 0 || table.present().length === 1) {
+      if (
+        count % HEARTBEATS_PER_DISCOVERY === 0 ||
+        table.present().length === 1
+      ) {
         runtime.spawn('discover', discover());
-        table.forgetDeadBefore(timer.now() - DEAD_MEMORY);
+        table.forgetDeadBefore(timer.now() - DEAD_RETENTION_MS);
       }
-      if (knowledge.leavingTargets.forgetExpired()) {
-        notify();
+      if (gossipState.leavingTargets.forgetExpired()) {
+        notifyListeners();
       }
     }
   }
@@ -234,9 +250,9 @@
     self,
     liveProxies,
     responsibleFor: (name, count, dataCentre) =>
-      pickResponsible(name, eligible(dataCentre), count),
+      pickResponsible(name, candidatesFrom(dataCentre), count),
     isResponsible: (name, count, dataCentre) =>
-      isPicked(name, eligible(dataCentre), count, self),
+      isPicked(name, candidatesFrom(dataCentre), count, self),
     onChange(listener) {
       listeners.add(listener);
       return () => void listeners.delete(listener);
@@ -246,14 +262,14 @@
       runtime.spawn('send heartbeats', sendHeartbeats());
     },
     joined: joined.future,
-    leave: knowledge.leave,
-    announceLeadership: knowledge.announceLeadership,
-    spread,
+    leave: gossipState.leave,
+    announceLeadership: gossipState.announceLeadership,
+    spread: scheduleBurst,
     noteInstances(instances) {
       listedAddresses = instances
         .filter(({role, state}) => role === 'proxy' && state === 'live')
         .map(({address}) => address);
-      knowledge.noteInstances(instances);
+      gossipState.applyInstanceList(instances);
     },
     find: (proxy, incarnation) =>
       table
@@ -262,7 +278,7 @@
         .find(
           known => known.proxy === proxy && known.incarnation === incarnation,
         ),
-    isTargetLeaving: target => knowledge.leavingTargets.includes(target),
-    serve: handlers => serveExchanges(handlers, knowledge, exchanges.hear),
+    isTargetLeaving: target => gossipState.leavingTargets.includes(target),
+    serve: handlers => serveExchanges(handlers, gossipState, exchanges.receive),
   };
 }
--- a/packages/membership/src/exchanges.ts
+++ b/packages/membership/src/exchanges.ts
@@ -1,4 +1,4 @@
-/** Exchanges of state with other proxies, and the comparison of views. */
+/** State exchanges with other proxies and the comparison of views. */
 import type {Failure, PeerState} from '@kelpstep/protocol';
 import {
   Future,
@@ -9,79 +9,89 @@
 } from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-import type {Knowledge, Partner} from './knowledge';
+import type {GossipPeer, GossipState} from './gossip_state';
+import type {GossipTiming} from './gossip_timing';
 import {MemberEntry, memberKey} from './member_table';
-import type {Pace} from './pace';
 
-/** Sends a state to a peer and gives its answer. */
+/** Sends a state to a peer and returns the peer's state. */
 export type PeerExchange = (
   address: string,
   state: PeerState,
 ) => Future<Result<PeerState, Failure>>;
 
-/** The exchanges of one proxy. */
+/** Gossip exchanges of one proxy. */
 export interface Exchanges {
-  /** Exchanges state with a partner; gives its answer, if there is one. */
+  /**
+   * Exchanges state with a peer; returns its reply or undefined without one.
+   */
   exchangeWith(
-    partner: Partner,
-    askDifferences?: boolean,
+    peer: GossipPeer,
+    requestDifferences?: boolean,
   ): Task<PeerState | undefined>;
-  /** Starts an exchange with a known proxy. */
-  contact(entry: MemberEntry): void;
-  /** Learns from a state; the sender's address is where to ask for more. */
-  hear(state: PeerState, address: string): void;
-  /** Asks a partner for what it knows otherwise until it has no more. */
+  /** Starts an exchange with a known proxy without waiting for the reply. */
+  startExchange(entry: MemberEntry): void;
+  /** Merges a state; `address` is where differing entries can be requested. */
+  receive(state: PeerState, address: string): void;
+  /**
+   * Requests differing entries from a peer until this view no longer changes.
+   */
   compareViews(address: string): Task<void>;
 }
 
-/** What exchanges are made of. */
+/** Dependencies of the exchanges. */
 export interface ExchangesOptions {
   readonly runtime: Runtime;
-  readonly knowledge: Knowledge;
+  readonly gossipState: GossipState;
   readonly exchange: PeerExchange;
-  readonly pace: () => Pace;
+  readonly timing: () => GossipTiming;
 }
 
-/** Views that differ are compared once neither has changed for a while. */
-const QUIET_INTERVALS = 3;
-const MAXIMUM_COMPARISONS = 200;
-/** A wait this much longer than asked means that the process was paused. */
-const PAUSE_FACTOR = 1.5;
+/** Heartbeat intervals without a change before differing views are compared. */
+const STABLE_INTERVAL_COUNT = 3;
+const MAXIMUM_COMPARISON_ROUNDS = 200;
+/**
+ * A wait longer than requested by this ratio means that the process was paused.
+ */
+const PAUSE_DETECTION_RATIO = 1.5;
 
 /** Creates the exchanges of a proxy. */
 export function createExchanges(options: ExchangesOptions): Exchanges {
-  const {runtime, knowledge, exchange, pace} = options;
+  const {runtime, gossipState, exchange, timing} = options;
   const {timer} = runtime;
-  const {table, suspicions} = knowledge;
+  const {table, suspicions} = gossipState;
   const inProgress = new Set<string>();
   let isComparing = false;
   let comparedAt: Milliseconds = -Infinity;
 
   function* exchangeWith(
-    partner: Partner,
-    askDifferences = false,
+    peer: GossipPeer,
+    requestDifferences = false,
   ): Task<PeerState | undefined> {
-    const {address, key} = partner;
+    const {address, key} = peer;
     if (inProgress.has(address)) {
       return undefined;
     }
     inProgress.add(address);
     try {
-      const {exchangeTimeout} = pace();
+      const {exchangeTimeout} = timing();
       const startedAt = timer.now();
-      const state = knowledge.describe(partner, {askDifferences});
+      const state = gossipState.describe(peer, {requestDifferences});
       const reply = yield* waitAtMost(
         exchange(address, state),
         exchangeTimeout,
       );
-      const took = timer.now() - startedAt;
+      const elapsed = timer.now() - startedAt;
       if (reply?.ok) {
-        hearReply(partner, reply.val);
+        receiveReply(peer, reply.val);
         return reply.val;
       }
-      // After a pause of this process, answers may wait to be read.
-      if (key !== undefined && took <= exchangeTimeout * PAUSE_FACTOR) {
-        suspicions.accuse(key);
+      // After a pause of this process, received replies may not have been read
+      // yet.
+      if (
+        key !== undefined &&
+        elapsed <= exchangeTimeout * PAUSE_DETECTION_RATIO
+      ) {
+        suspicions.reportUnanswered(key);
       }
       return undefined;
     } finally {
@@ -89,35 +99,35 @@
     }
   }
 
-  function hearReply({key, address}: Partner, state: PeerState): void {
+  function receiveReply({key, address}: GossipPeer, state: PeerState): void {
     if (key !== undefined && key !== memberKey(state.from)) {
-      knowledge.replaced(key);
+      gossipState.markReplaced(key);
     }
-    hear(state, address);
+    receive(state, address);
   }
 
-  function hear(state: PeerState, address: string): void {
-    knowledge.hear(state);
-    compareLater(state, address);
+  function receive(state: PeerState, address: string): void {
+    gossipState.receive(state);
+    compareIfStable(state, address);
   }
 
-  /** Compares views if they differ though both have been quiet. */
-  function compareLater({view}: PeerState, address: string): void {
-    const quiet = QUIET_INTERVALS * pace().interval;
+  /** Compares views if they differ although neither has changed recently. */
+  function compareIfStable({view}: PeerState, address: string): void {
+    const stableTime = STABLE_INTERVAL_COUNT * timing().interval;
     const now = timer.now();
     const differs =
       view !== undefined &&
       view.checksum !== table.checksum() &&
-      view.unchangedFor >= quiet &&
-      now - table.changedAt() >= quiet;
-    if (differs && !isComparing && now - comparedAt >= quiet) {
+      view.unchangedFor >= stableTime &&
+      now - table.changedAt() >= stableTime;
+    if (differs && !isComparing && now - comparedAt >= stableTime) {
       runtime.spawn('compare views', compareViews(address));
     }
   }
 
   function* compareViews(address: string): Task<void> {
     isComparing = true;
-    for (let round = 0; round < MAXIMUM_COMPARISONS; round++) {
+    for (let round = 0; round < MAXIMUM_COMPARISON_ROUNDS; round++) {
       const before = table.checksum();
       const reply = yield* exchangeWith({address}, true);
       const isDone =
@@ -132,10 +142,10 @@
     isComparing = false;
   }
 
-  function contact(entry: MemberEntry): void {
+  function startExchange(entry: MemberEntry): void {
     const {address} = entry.update.proxy;
     runtime.spawn('exchange', exchangeWith({address, key: entry.key}));
   }
 
-  return {exchangeWith, contact, hear, compareViews};
+  return {exchangeWith, startExchange, receive, compareViews};
 }
--- a/packages/membership/src/partners.ts
+++ b/packages/membership/src/gossip_peers.ts
@@ -1,30 +1,30 @@
-/** Whom a proxy exchanges state with. */
+/** Selection of the peers that a proxy exchanges state with. */
 import type {Random} from '@kelpstep/runtime';
 
 import type {MemberEntry} from './member_table';
 
 /**
- * The next proxies on the ring. Each is so watched by as many others, and
- * news that goes round the ring misses nobody.
+ * The next proxies on the ring. Each proxy is thus monitored by `count` others,
+ * and updates that travel along the ring reach every proxy.
  */
-export function nextOnRing(
+export function ringSuccessors(
   ring: readonly MemberEntry[],
   selfKey: string,
   count: number,
 ): MemberEntry[] {
   const start = ring.findIndex(({key}) => key === selfKey);
-  const next: MemberEntry[] = [];
+  const successors: MemberEntry[] = [];
   for (let step = 1; step <= count && step < ring.length; step++) {
     const entry = ring[(start + step) % ring.length];
     if (entry !== undefined) {
-      next.push(entry);
+      successors.push(entry);
     }
   }
-  return next;
+  return successors;
 }
 
-/** Random proxies other than some; fewer if there are no more. */
-export function randomOthers(
+/** Up to `count` random proxies without the excluded ones. */
+export function randomPeers(
   ring: readonly MemberEntry[],
   excludedKeys: ReadonlySet<string>,
   count: number,
--- a/packages/membership/src/gossip_queue.ts
+++ b/packages/membership/src/gossip_queue.ts
@@ -1,23 +1,23 @@
-/** News that is passed on with the next messages, each a bounded number of times. */
+/** Updates to send with the next messages, each a bounded number of times. */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** News of one kind. */
+/** Queue of updates of one kind. */
 export interface GossipQueue<T> {
-  /** Adds news; older news under the same key is dropped. */
+  /** Adds an item and drops an older one with the same key. */
   add(key: string, item: T): void;
-  /** The news for one message, what was sent least first. */
+  /** Items for one message, the least often sent ones first. */
   take(excludedKeys?: ReadonlySet<string>): T[];
   size(): number;
 }
 
-/** Bounds of a queue. */
+/** Limits of a queue. */
 export interface GossipQueueOptions {
   readonly timer: TimerService;
-  /** Items in one message. */
+  /** Maximum number of items in one message. */
   readonly itemsPerMessage: number;
-  /** How often an item is sent. */
+  /** Number of times that an item is sent. */
   readonly transmissions: () => number;
-  /** After this time an item is dropped in any case. */
+  /** Time after which an item is dropped even if it was not sent. */
   readonly lifetime: Milliseconds;
 }
 
@@ -34,7 +34,7 @@
   const {timer, itemsPerMessage, lifetime} = options;
   const queued = new Map<string, QueuedItem<T>>();
 
-  function dropSpent(): void {
+  function removeExpired(): void {
     const transmissions = options.transmissions();
     const oldest = timer.now() - lifetime;
     for (const [key, {sent, addedAt}] of queued) {
@@ -48,13 +48,13 @@
     if (queued.size === 0) {
       return [];
     }
-    dropSpent();
-    const chosen = [...queued]
+    removeExpired();
+    const selected = [...queued]
       .filter(([key]) => !excludedKeys?.has(key))
       .map(([, entry]) => entry)
       .sort((left, right) => left.sent - right.sent)
       .slice(0, itemsPerMessage);
-    return chosen.map(entry => {
+    return selected.map(entry => {
       entry.sent++;
       return entry.item;
     });
--- a/packages/membership/src/idempotent_request.ts
+++ b/packages/membership/src/idempotent_request.ts
@@ -1,14 +1,15 @@
 /**
- * Idempotent requests to peers. An open connection can go silent while new
- * ones work, so a request that gets no answer is sent once more, on a fresh
- * connection if the first is silent, before the peer counts as silent.
+ * Idempotent requests to peers. An open connection can become unresponsive
+ * while new ones work. A request without a reply is therefore sent once more,
+ * on a new connection if the first is unresponsive, before the peer counts as
+ * unresponsive.
  */
 import type {Failure, Method} from '@kelpstep/protocol';
 import type {RequestFailure} from '@kelpstep/rpc';
 import {Future, Milliseconds, Runtime, Task, waitFor} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** Sends a request once, and drops a connection that it finds silent. */
+/** Sends a request once and closes the connection if it is unresponsive. */
 export type PeerRequest = <P, R>(
   address: string,
   method: Method<P, R>,
@@ -16,7 +17,7 @@
   timeout: Milliseconds,
 ) => Future<Result<R, RequestFailure>>;
 
-/** Sends an idempotent request; settles within the timeout. */
+/** Sends an idempotent request up to twice; settles within the timeout. */
 export type IdempotentRequest = <P, R>(
   address: string,
   method: Method<P, R>,
@@ -24,15 +25,15 @@
   timeout: Milliseconds,
 ) => Future<Result<R, Failure>>;
 
-/** Share of the timeout that the first attempt gets. */
+/** Share of the timeout for the first attempt. */
 const FIRST_ATTEMPT_SHARE = 0.5;
 
-/** True if the peer has answered, if only to refuse. */
+/** True if the peer has answered, even with a refusal. */
 function isAnswer({kind}: RequestFailure): boolean {
   return kind === 'refused' || kind === 'malformed';
 }
 
-/** Puts the second attempt on requests that are sent once. */
+/** Adds a second attempt to a function that sends requests once. */
 export function createIdempotentRequest(
   runtime: Runtime,
   request: PeerRequest,
@@ -46,9 +47,9 @@
     timeout: Milliseconds,
   ): Task<Result<R, Failure>> {
     const deadline = timer.now() + timeout;
-    const patience = timeout * FIRST_ATTEMPT_SHARE;
+    const firstTimeout = timeout * FIRST_ATTEMPT_SHARE;
     const first = yield* waitFor(
-      request(address, method, parameters, patience),
+      request(address, method, parameters, firstTimeout),
     );
     if (first.ok || isAnswer(first.val)) {
       return first.mapErr(({failure}) => failure);
--- a/packages/membership/src/leaving_targets.ts
+++ b/packages/membership/src/leaving_targets.ts
@@ -1,19 +1,21 @@
-/** Targets that the platform's list calls leaving, as heard lately. */
+/** Targets that the platform's list recently showed as leaving. */
 import type {LeavingTarget} from '@kelpstep/protocol';
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** Leaving targets. */
+/** Expiring set of leaving targets. */
 export interface LeavingTargets {
-  /** Notes that a target is leaving; true if that is news to pass on. */
-  note(target: LeavingTarget): boolean;
-  /** True if the member at this address is leaving. */
+  /** Adds or refreshes a target; returns true if it must be forwarded. */
+  addOrRefresh(target: LeavingTarget): boolean;
+  /** True if the target with this id and address is leaving. */
   includes(target: LeavingTarget): boolean;
-  /** Drops what was not confirmed for long; true if anything was. */
+  /** Removes expired targets; returns true if there were any. */
   forgetExpired(): boolean;
 }
 
-/** A target that nobody calls leaving for this long no longer is. */
-export const LEAVING_TARGET_LIFETIME: Milliseconds = 60_000;
+/**
+ * Time without confirmation after which a target no longer counts as leaving.
+ */
+export const LEAVING_TARGET_LIFETIME_MS: Milliseconds = 60_000;
 
 function keyOf({id, address}: LeavingTarget): string {
   return `${id} ${address}`;
@@ -29,13 +31,13 @@
   }
 
   return {
-    note(target) {
-      // Passed on again only when half of its life is over: an echo of what
-      // is still being spread renews nothing, so that it can expire.
-      if (isFresh(target, LEAVING_TARGET_LIFETIME / 2)) {
+    addOrRefresh(target) {
+      // Refreshed only after half of its lifetime: gossip that still circulates
+      // must not renew the entry, or it would never expire.
+      if (isFresh(target, LEAVING_TARGET_LIFETIME_MS / 2)) {
         return false;
       }
-      expiryByKey.set(keyOf(target), timer.now() + LEAVING_TARGET_LIFETIME);
+      expiryByKey.set(keyOf(target), timer.now() + LEAVING_TARGET_LIFETIME_MS);
       return true;
     },
     includes: target => isFresh(target, 0),
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -1,4 +1,4 @@
-/** What this proxy knows of all proxies, with checksums to compare views. */
+/** Table of all known proxies, with checksums for the comparison of views. */
 import {
   PeerCondition,
   PeerUpdate,
@@ -9,28 +9,28 @@
 
 import {hashText, mixHashes} from './hash';
 
-/** A proxy in the table. */
+/** A proxy's entry in the table. */
 export interface MemberEntry {
   readonly key: string;
   readonly update: PeerUpdate;
-  /** Place on the ring of proxies. */
+  /** Position on the ring of proxies. */
   readonly hash: number;
-  /** Monotonic time of its last change. */
+  /** Monotonic time of the entry's last change. */
   readonly changedAt: Milliseconds;
 }
 
-/** The table; entries are replaced, never changed. */
+/** Table of proxies; entries are immutable and replaced on change. */
 export interface MemberTable {
   get(key: string): MemberEntry | undefined;
-  /** Takes an update if it is newer; gives the entry if it changed. */
+  /** Merges an update; returns the entry if it changed. */
   merge(update: PeerUpdate, now: Milliseconds): MemberEntry | undefined;
-  /** Proxies that aren't dead, in the order of the ring. */
+  /** Proxies that aren't dead, in ring order. */
   present(): readonly MemberEntry[];
-  /** Dead proxies that are still remembered. */
+  /** Dead proxies that haven't been removed yet. */
   dead(): readonly MemberEntry[];
-  /** Forgets the dead that died before a time. */
+  /** Removes proxies that died before a time. */
   forgetDeadBefore(time: Milliseconds): void;
-  /** Checksum over all that aren't dead. */
+  /** Checksum over all proxies that aren't dead. */
   checksum(): number;
   bucketChecksums(): number[];
   /** Entries of the buckets whose checksums differ, at most `limit`. */
@@ -41,13 +41,13 @@
 
 const BUCKET_SHIFT = 32 - Math.log2(VIEW_BUCKETS);
 
-const BADNESS: Readonly<Record<PeerCondition, number>> = {
+const CONDITION_SEVERITY: Readonly<Record<PeerCondition, number>> = {
   alive: 0,
   suspect: 1,
   dead: 2,
 };
 
-/** Names a process: two processes may bear the same id one after the other. */
+/** Key of a process: successive processes may have the same id. */
 export function memberKey(identity: ProxyIdentity): string {
   return `${identity.proxy}/${identity.incarnation}`;
 }
@@ -56,7 +56,9 @@
   return hash >>> BUCKET_SHIFT;
 }
 
-/** The dead count nothing: they are forgotten at different times. */
+/**
+ * Dead proxies are excluded because each proxy removes them at another time.
+ */
 function checksumOf({update, hash}: MemberEntry): number {
   const {revision, leaving, condition} = update;
   return condition === 'dead'
@@ -68,12 +70,16 @@
   return (
     update.revision > known.revision ||
     (update.revision === known.revision &&
-      BADNESS[update.condition] > BADNESS[known.condition])
+      CONDITION_SEVERITY[update.condition] >
+        CONDITION_SEVERITY[known.condition])
   );
 }
 
-/** Joins two updates; undefined if the new one adds nothing. */
-function join(known: PeerUpdate, update: PeerUpdate): PeerUpdate | undefined {
+/** Combines two updates; returns undefined if the new one changes nothing. */
+function combine(
+  known: PeerUpdate,
+  update: PeerUpdate,
+): PeerUpdate | undefined {
   const leaving = known.leaving || update.leaving;
   if (isNewer(update, known)) {
     return {...update, leaving};
@@ -93,10 +99,10 @@
     buckets[bucket] = ((buckets[bucket] ?? 0) ^ checksumOf(entry)) >>> 0;
   }
 
-  function put(entry: MemberEntry): void {
-    const before = entries.get(entry.key);
-    if (before !== undefined) {
-      toggleChecksum(before);
+  function replaceEntry(entry: MemberEntry): void {
+    const previous = entries.get(entry.key);
+    if (previous !== undefined) {
+      toggleChecksum(previous);
     }
     toggleChecksum(entry);
     entries.set(entry.key, entry);
@@ -110,13 +116,14 @@
   ): MemberEntry | undefined {
     const key = memberKey(update.proxy);
     const known = entries.get(key);
-    const joined = known === undefined ? update : join(known.update, update);
-    if (joined === undefined) {
+    const combined =
+      known === undefined ? update : combine(known.update, update);
+    if (combined === undefined) {
       return undefined;
     }
     const hash = known?.hash ?? hashText(key);
-    const entry = {key, update: joined, hash, changedAt: now};
-    put(entry);
+    const entry = {key, update: combined, hash, changedAt: now};
+    replaceEntry(entry);
     return entry;
   }
 
@@ -141,7 +148,7 @@
       const bucket = bucketOf(hash);
       return checksums[bucket] !== buckets[bucket];
     });
-    // Bucket by bucket, so that repeated questions go through all of them.
+    // Ordered by bucket, so that repeated requests cover all buckets.
     return differing
       .sort((left, right) => left.hash - right.hash)
       .slice(0, limit)
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,23 +1,23 @@
-/** What other parts use of the knowledge about live proxies. */
+/** Live proxies and responsibilities, as used by other packages. */
 import type {ProxyIdentity} from '@kelpstep/protocol';
 import type {Unsubscribe} from '@kelpstep/runtime';
 
-/** The live proxies, as this one sees them. */
+/** This proxy's view of the live proxies. */
 export interface Membership {
   readonly self: ProxyIdentity;
-  /** Proxies believed to be alive and not stopping, this one included. */
+  /** Proxies considered alive and not stopping, including this one. */
   liveProxies(): readonly ProxyIdentity[];
   /**
-   * The proxies responsible for a name (a group, say), most responsible first,
-   * by rendezvous hashing; at most `count`, and from as many data centres as
-   * possible, or only from one.
+   * Proxies responsible for a name, for example a group, in descending order by
+   * rendezvous hashing. Returns at most `count`, from as many data centres as
+   * possible or only from `dataCentre`.
    */
   responsibleFor(
     name: string,
     count: number,
     dataCentre?: string,
   ): readonly ProxyIdentity[];
-  /** True if this proxy is among them; cheaper than to ask for all. */
+  /** True if this proxy is one of `responsibleFor`; cheaper than that call. */
   isResponsible(name: string, count: number, dataCentre?: string): boolean;
   /** Calls the listener after each change of the live proxies. */
   onChange(listener: () => void): Unsubscribe;
--- a/packages/membership/src/rendezvous.ts
+++ b/packages/membership/src/rendezvous.ts
@@ -1,41 +1,45 @@
-/** Rendezvous hashing over proxies, spread over data centres. */
+/**
+ * Rendezvous hashing over proxies that spreads the choice over data centres.
+ */
 import type {ProxyIdentity} from '@kelpstep/protocol';
 
 import {hashText, mixHashes} from './hash';
 
-/** What picking goes by. */
-export type PlacedProxy = Pick<ProxyIdentity, 'proxy' | 'dataCentre'>;
+/** Proxy id and data centre, the inputs of the selection. */
+export type LocatedProxy = Pick<ProxyIdentity, 'proxy' | 'dataCentre'>;
 
-/** The proxies of one data centre. */
-interface Centre<P extends PlacedProxy> {
+/** Candidates of one data centre. */
+interface DataCentreCandidates<P extends LocatedProxy> {
   readonly identities: readonly P[];
-  /** Hashes of their ids: a new process with an id takes the old one's place. */
+  /**
+   * Hashes of the proxy ids, so a restarted proxy keeps its responsibilities.
+   */
   readonly hashes: Uint32Array;
 }
 
-/** Proxies that may be picked, by data centre. */
-export type CandidateSet<P extends PlacedProxy = ProxyIdentity> = ReadonlyMap<
+/** Candidates by data centre. */
+export type CandidateSet<P extends LocatedProxy = ProxyIdentity> = ReadonlyMap<
   string,
-  Centre<P>
+  DataCentreCandidates<P>
 >;
 
-interface Scored<P extends PlacedProxy> {
+interface Scored<P extends LocatedProxy> {
   readonly identity: P;
   readonly score: number;
 }
 
-/** Prepares proxies for picking. */
-export function createCandidateSet<P extends PlacedProxy>(
+/** Groups proxies by data centre and hashes their ids. */
+export function createCandidateSet<P extends LocatedProxy>(
   identities: readonly P[],
 ): CandidateSet<P> {
-  const byCentre = new Map<string, P[]>();
+  const byDataCentre = new Map<string, P[]>();
   for (const identity of identities) {
-    const centre = byCentre.get(identity.dataCentre) ?? [];
+    const centre = byDataCentre.get(identity.dataCentre) ?? [];
     centre.push(identity);
-    byCentre.set(identity.dataCentre, centre);
+    byDataCentre.set(identity.dataCentre, centre);
   }
-  const set = new Map<string, Centre<P>>();
-  for (const [dataCentre, members] of byCentre) {
+  const set = new Map<string, DataCentreCandidates<P>>();
+  for (const [dataCentre, members] of byDataCentre) {
     const hashes = Uint32Array.from(members, ({proxy}) => hashText(proxy));
     set.set(dataCentre, {identities: members, hashes});
   }
@@ -48,19 +52,22 @@
   return new Map(centre === undefined ? [] : [[dataCentre, centre]]);
 }
 
-/** Equal scores are ordered by id, so that all proxies pick the same. */
+/** Orders equal scores by id, so that all proxies make the same choice. */
 function compareScored(
-  left: Scored<PlacedProxy>,
-  right: Scored<PlacedProxy>,
+  left: Scored<LocatedProxy>,
+  right: Scored<LocatedProxy>,
 ): number {
   const byId = left.identity.proxy < right.identity.proxy ? -1 : 1;
   return right.score - left.score || byId;
 }
 
-/** The best of one data centre; runs over all proxies, so it makes no garbage. */
-function bestOf<P extends PlacedProxy>(
+/**
+ * Best candidate of one data centre; its loop over the candidates allocates
+ * nothing.
+ */
+function bestOf<P extends LocatedProxy>(
   nameHash: number,
-  {identities, hashes}: Centre<P>,
+  {identities, hashes}: DataCentreCandidates<P>,
   taken: ReadonlySet<P>,
 ): Scored<P> | undefined {
   let best: P | undefined;
@@ -84,11 +91,11 @@
 }
 
 /**
- * Picks at most `count` proxies for a name. Each round takes the best of each
- * data centre, so that no centre gets a second before all have one. Linear in
- * the candidates, without a sort of all of them.
+ * Picks at most `count` proxies for a name. Each round picks the best candidate
+ * of each data centre, so that none has a second before all have one. Linear in
+ * the number of candidates, which are not sorted as a whole.
  */
-export function pickResponsible<P extends PlacedProxy>(
+export function pickResponsible<P extends LocatedProxy>(
   name: string,
   candidates: CandidateSet<P>,
   count: number,
@@ -110,8 +117,8 @@
 }
 
 /**
- * True if a proxy is among those picked. Mostly settled within its own data
- * centre: who isn't the best there is not in the first round.
+ * True if a proxy is picked for a name. Usually decided within the proxy's own
+ * data centre: only the best candidate there can be picked in the first round.
  */
 export function isPicked(
   name: string,
--- a/packages/membership/src/serve_exchanges.ts
+++ b/packages/membership/src/serve_exchanges.ts
@@ -1,4 +1,4 @@
-/** Answers the exchanges that other proxies begin. */
+/** Answers exchanges that other proxies start. */
 import {
   PeerState,
   createFailure,
@@ -9,31 +9,31 @@
 import {settledFuture} from '@kelpstep/runtime';
 import {Err, Ok} from 'ts-results';
 
-import type {Knowledge} from './knowledge';
+import type {GossipState} from './gossip_state';
 import {memberKey} from './member_table';
-import {lengthen, shorten} from './short_exchange';
+import {expandState, shortenState} from './short_exchange';
 
-/** Serves `peer.exchange` and its short form. */
+/** Registers handlers for `peer.exchange` and its short form. */
 export function serveExchanges(
   handlers: HandlerTable,
-  knowledge: Knowledge,
-  hear: (state: PeerState, address: string) => void,
+  gossipState: GossipState,
+  receive: (state: PeerState, address: string) => void,
 ): void {
   function answer(state: PeerState): PeerState {
     const {from} = state;
-    hear(state, from.address);
-    const partner = {address: from.address, key: memberKey(from)};
-    return knowledge.describe(partner, {heard: state});
+    receive(state, from.address);
+    const peer = {address: from.address, key: memberKey(from)};
+    return gossipState.describe(peer, {received: state});
   }
 
   handlers.handle(peerExchange, state => settledFuture(Ok(answer(state))));
   handlers.handle(peerShortExchange, short => {
-    const sender = knowledge.table.get(short.sender);
+    const sender = gossipState.table.get(short.sender);
     if (sender === undefined) {
       const message = 'The sender is not known.';
       return settledFuture(Err(createFailure('INVALID_PARAMETERS', {message})));
     }
-    const state = lengthen(short, sender.update.proxy);
-    return settledFuture(Ok(shorten(answer(state))));
+    const state = expandState(short, sender.update.proxy);
+    return settledFuture(Ok(shortenState(answer(state))));
   });
 }
--- a/packages/membership/src/short_exchange.ts
+++ b/packages/membership/src/short_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Leaves out of exchanges what the partner knows already. The identity of the
- * sender and empty lists are half of a heartbeat between proxies.
+ * Omits from exchanges what the peer already knows. The sender's identity and
+ * empty lists make up half of a heartbeat between proxies.
  */
 import {
   Failure,
@@ -17,15 +17,15 @@
 import type {IdempotentRequest} from './idempotent_request';
 import {memberKey} from './member_table';
 
-/** How states are sent. */
+/** Dependencies of the short exchange. */
 export interface ShortExchangeOptions {
   readonly runtime: Runtime;
   readonly ask: IdempotentRequest;
   readonly timeout: Milliseconds;
 }
 
-/** The short form of a state. */
-export function shorten(state: PeerState): ShortPeerState {
+/** Converts a state to its short form. */
+export function shortenState(state: PeerState): ShortPeerState {
   const {from, leaderships, proxies: unusedProxies, ...rest} = state;
   return {
     ...rest,
@@ -34,8 +34,8 @@
   };
 }
 
-/** The state that a short one stands for; `from` is its sender. */
-export function lengthen(
+/** Restores the full state from its short form; `from` is its sender. */
+export function expandState(
   short: ShortPeerState,
   from: ProxyIdentity,
 ): PeerState {
@@ -43,41 +43,44 @@
   return {...rest, from, leaderships, proxies: []};
 }
 
-/** True if the partner answered that it can't read the short form. */
-function isRefusal({name}: Failure): boolean {
+/** True if the peer answered that it can't read the short form. */
+function isShortFormRefusal({name}: Failure): boolean {
   return name === 'INVALID_PARAMETERS' || name === 'METHOD_NOT_FOUND';
 }
 
 /**
- * Sends short states to partners that have answered a full one, and full ones
- * to others, to those that refuse, and to those in whose place another answers.
+ * Sends short states to peers that have answered a full one. Falls back to a
+ * full state if the peer refuses the short form or another process answers in
+ * its place.
  */
 export function createShortExchange(
   options: ShortExchangeOptions,
 ): PeerExchange {
-  const {runtime, ask, timeout} = options;
-  const partners = new Map<string, ProxyIdentity>();
+  const {runtime, ask: sendRequest, timeout} = options;
+  const knownPeers = new Map<string, ProxyIdentity>();
 
   function* exchange(
     address: string,
     state: PeerState,
   ): Task<Result<PeerState, Failure>> {
-    const partner = partners.get(address);
-    if (partner !== undefined) {
+    const knownPeer = knownPeers.get(address);
+    if (knownPeer !== undefined) {
       const reply = yield* waitFor(
-        ask(address, peerShortExchange, shorten(state), timeout),
+        sendRequest(address, peerShortExchange, shortenState(state), timeout),
       );
-      if (reply.ok && reply.val.sender === memberKey(partner)) {
-        return Ok(lengthen(reply.val, partner));
+      if (reply.ok && reply.val.sender === memberKey(knownPeer)) {
+        return Ok(expandState(reply.val, knownPeer));
       }
-      partners.delete(address);
-      if (reply.err && !isRefusal(reply.val)) {
+      knownPeers.delete(address);
+      if (reply.err && !isShortFormRefusal(reply.val)) {
         return reply;
       }
     }
-    const reply = yield* waitFor(ask(address, peerExchange, state, timeout));
+    const reply = yield* waitFor(
+      sendRequest(address, peerExchange, state, timeout),
+    );
     if (reply.ok) {
-      partners.set(address, reply.val.from);
+      knownPeers.set(address, reply.val.from);
     }
     return reply;
   }
--- a/packages/membership/src/suspicion.ts
+++ b/packages/membership/src/suspicion.ts
@@ -1,56 +1,62 @@
 /**
- * Suspects a proxy that did not answer, and calls it dead if the suspicion is
+ * Marks a proxy that did not answer as suspect, and as dead if the suspicion is
  * not refuted in time.
  */
 import type {Milliseconds, Runtime, Task} from '@kelpstep/runtime';
 import {sleep} from '@kelpstep/runtime';
 
+import type {GossipTiming} from './gossip_timing';
 import type {MemberEntry, MemberTable} from './member_table';
-import type {Pace} from './pace';
 
-/** The suspicions of one proxy. */
+/** Suspicions of one proxy about others. */
 export interface Suspicions {
-  /** A proxy did not answer this one. */
-  accuse(key: string): void;
-  /** A proxy answered, or asked something. */
-  heardFrom(key: string): void;
-  /** An entry became suspect, by this proxy or by hearsay. */
-  watch(entry: MemberEntry): void;
+  /** Reports that a proxy did not answer this one. */
+  reportUnanswered(key: string): void;
+  /** Records that a proxy sent a reply or a request. */
+  recordContact(key: string): void;
+  /** Starts the timeout of an entry that became suspect here or by gossip. */
+  startExpiry(entry: MemberEntry): void;
 }
 
-/** What suspicions are made of. */
+/** Dependencies of the suspicions. */
 export interface SuspicionOptions {
   readonly runtime: Runtime;
   readonly table: MemberTable;
-  readonly pace: () => Pace;
-  /** Takes each entry that changes. */
+  readonly timing: () => GossipTiming;
+  /** Called with each changed entry. */
   readonly onChanged: (entry: MemberEntry) => void;
 }
 
-interface Strikes {
+interface SuspicionBackoff {
   readonly count: number;
   readonly notBefore: Milliseconds;
 }
 
 /**
- * A proxy that others still hear refutes. Whoever can't reach it then waits
- * longer and longer before it accuses again, or else a link that is cut in one
- * place would keep all proxies busy.
+ * A proxy that others still reach refutes suspicions. A proxy that can't reach
+ * it backs off exponentially before suspecting it again; otherwise a single
+ * partitioned link would keep all proxies busy.
  */
-const FIRST_ACCUSATION_PAUSE = 2000;
-const LONGEST_ACCUSATION_PAUSE = 30_000;
+const FIRST_SUSPICION_BACKOFF_MS = 2000;
+const MAXIMUM_SUSPICION_BACKOFF_MS = 30_000;
 
-/** A sleep this much longer than asked means that the process was paused. */
-const PAUSE_FACTOR = 1.5;
+/**
+ * A sleep longer than requested by this ratio means that the process was
+ * paused.
+ */
+const PAUSE_DETECTION_RATIO = 1.5;
 
-/** Creates suspicions about the proxies of a table. */
+/** Creates suspicions about the proxies in a table. */
 export function createSuspicions(options: SuspicionOptions): Suspicions {
-  const {runtime, table, pace, onChanged} = options;
+  const {runtime, table, timing, onChanged} = options;
   const {timer} = runtime;
-  const strikesByKey = new Map<string, Strikes>();
-  const heardAt = new Map<string, Milliseconds>();
+  const backoffByKey = new Map<string, SuspicionBackoff>();
+  const lastContactByKey = new Map<string, Milliseconds>();
 
-  function change(entry: MemberEntry, condition: 'suspect' | 'dead'): void {
+  function setCondition(
+    entry: MemberEntry,
+    condition: 'suspect' | 'dead',
+  ): void {
     const update = {...entry.update, condition};
     const changed = table.merge(update, timer.now());
     if (changed !== undefined) {
@@ -58,60 +64,62 @@
     }
   }
 
-  function accuse(key: string): void {
+  function reportUnanswered(key: string): void {
     const entry = table.get(key);
-    const strikes = strikesByKey.get(key) ?? {count: 0, notBefore: 0};
+    const backoff = backoffByKey.get(key) ?? {count: 0, notBefore: 0};
     if (
       entry?.update.condition !== 'alive' ||
-      timer.now() < strikes.notBefore
+      timer.now() < backoff.notBefore
     ) {
       return;
     }
-    const pause = Math.min(
-      FIRST_ACCUSATION_PAUSE * 2 ** strikes.count,
-      LONGEST_ACCUSATION_PAUSE,
+    const delay = Math.min(
+      FIRST_SUSPICION_BACKOFF_MS * 2 ** backoff.count,
+      MAXIMUM_SUSPICION_BACKOFF_MS,
     );
-    strikesByKey.set(key, {
-      count: strikes.count + 1,
-      notBefore: timer.now() + pause,
+    backoffByKey.set(key, {
+      count: backoff.count + 1,
+      notBefore: timer.now() + delay,
     });
-    change(entry, 'suspect');
+    setCondition(entry, 'suspect');
   }
 
-  /** False if this process was paused: refutations may wait to be read. */
-  function* sleepUndisturbed(duration: Milliseconds): Task<boolean> {
+  /**
+   * Returns false if this process was paused: refutations may be unread then.
+   */
+  function* sleepWithoutPause(duration: Milliseconds): Task<boolean> {
     const before = timer.now();
     yield* sleep(duration);
-    return timer.now() - before <= duration * PAUSE_FACTOR;
+    return timer.now() - before <= duration * PAUSE_DETECTION_RATIO;
   }
 
   function* expire({key, update}: MemberEntry): Task<void> {
     for (;;) {
-      const {suspicionTime} = pace();
-      const undisturbed = yield* sleepUndisturbed(suspicionTime);
+      const {suspicionTime} = timing();
+      const wasUninterrupted = yield* sleepWithoutPause(suspicionTime);
       const entry = table.get(key);
-      const stands =
+      const isStillSuspect =
         entry?.update.condition === 'suspect' &&
         entry.update.revision === update.revision;
-      if (!stands) {
+      if (!isStillSuspect) {
         return;
       }
-      const heard = heardAt.get(key) ?? -Infinity;
-      if (undisturbed && timer.now() - heard >= suspicionTime) {
-        strikesByKey.delete(key);
-        heardAt.delete(key);
-        change(entry, 'dead');
+      const lastContactAt = lastContactByKey.get(key) ?? -Infinity;
+      if (wasUninterrupted && timer.now() - lastContactAt >= suspicionTime) {
+        backoffByKey.delete(key);
+        lastContactByKey.delete(key);
+        setCondition(entry, 'dead');
         return;
       }
     }
   }
 
   return {
-    accuse,
-    heardFrom(key) {
-      heardAt.set(key, timer.now());
-      strikesByKey.delete(key);
+    reportUnanswered,
+    recordContact(key) {
+      lastContactByKey.set(key, timer.now());
+      backoffByKey.delete(key);
     },
-    watch: entry => void runtime.spawn('suspicion', expire(entry)),
+    startExpiry: entry => void runtime.spawn('suspicion', expire(entry)),
   };
 }
