--- a/packages/membership/__tests__/create_membership.spec.ts
+++ b/packages/membership/__tests__/create_membership.spec.ts
@@ -190,10 +190,10 @@
       expect(leaderships.get('g')).toEqual(leadership);
       expect(membership.isTargetLeaving(target)).toEqual(true);
     }
-    const heard = proxies
+    const notified = proxies
       .slice(1)
       .filter(each => each.receivedManifestVersions.includes(7));
-    expect(heard.length).toBeGreaterThan(2);
+    expect(notified.length).toBeGreaterThan(2);
     network.timer.advance(120_000);
     expect(first.membership.isTargetLeaving(target)).toEqual(false);
   });
--- a/packages/table-feed/src/feed_server.ts
+++ b/packages/table-feed/src/feed_server.ts
@@ -45,7 +45,7 @@
 interface Subscriber {
   readonly peer: RpcPeer;
   readonly proxy: PresentProxy;
-  /** Version last sent or reported by the subscriber, by table. */
+  /** Versions that it has once all sent updates have arrived, by table. */
   readonly sent: Map<string, number>;
 }
 
