--- a/packages/request-ledger/__tests__/transaction_id.spec.ts
+++ b/packages/request-ledger/__tests__/transaction_id.spec.ts
@@ -18,8 +18,8 @@
 const SEED = 20260101;
 
 describe('a transaction id', () => {
-  test('gives back the parts that it was made of', () => {
-    const name = fc.record(
+  test('parses into the parts that it was formatted from', () => {
+    const partsArbitrary = fc.record(
       {
         proxy: fc.string({unit: 'grapheme', minLength: 1}),
         incarnation: fc.string({minLength: 1}),
@@ -30,7 +30,7 @@
       {noNullPrototype: true},
     );
     fc.assert(
-      fc.property(name, parts => {
+      fc.property(partsArbitrary, parts => {
         const id = formatTransactionId(parts);
         expect(parseTransactionId(id)).toEqual(parts);
         expect(commitKeyOf(id, parts).issuedAt).toEqual(parts.begunAt);
@@ -39,17 +39,17 @@
     );
   });
 
-  test('is refused, never by a throw, if it is any other text', () => {
+  test('is rejected without an exception if it is any other text', () => {
     const text = fc.oneof(
       fc.string({unit: 'binary'}),
       fc.stringMatching(/^tx1(:[%a-z0-9]{0,4}){5}$/),
     );
     fc.assert(
       fc.property(text, id => {
-        const name = parseTransactionId(id);
-        expect(name === undefined || formatTransactionId(name) === id).toEqual(
-          true,
-        );
+        const parts = parseTransactionId(id);
+        expect(
+          parts === undefined || formatTransactionId(parts) === id,
+        ).toEqual(true);
       }),
       {seed: SEED, numRuns: 1000},
     );
@@ -57,18 +57,20 @@
 });
 
 describe('idempotency keys', () => {
-  test('made here differ and are in time', () => {
+  test('are unique and within the age limits when created', () => {
     const timer = createVirtualTimer();
     const runtime = createRuntime({timer, random: createRandom(1)});
-    const make = createKeyMaker(runtime, 'incarnation');
-    const keys = Array.from({length: 100}, make);
+    const createKey = createKeyMaker(runtime, 'incarnation');
+    const keys = Array.from({length: 100}, createKey);
     expect(new Set(keys.map(({id}) => id)).size).toEqual(100);
     const limits = {retention: 10, expiryMargin: 1, clockTolerance: 1};
-    const faults = keys.map(key => checkKeyAge(key, timer.wallClock(), limits));
-    expect(faults.every(fault => fault === undefined)).toEqual(true);
+    const failures = keys.map(key =>
+      checkKeyAge(key, timer.wallClock(), limits),
+    );
+    expect(failures.every(failure => failure === undefined)).toEqual(true);
   });
 
-  test('count as expired before their targets forget them', () => {
+  test('expire before the end of their retention at the targets', () => {
     const limits = {retention: 100, expiryMargin: 20, clockTolerance: 5};
     const key = {id: 'k', issuedAt: 1000};
     const names = [994, 995, 1080, 1081].map(
--- a/packages/request-ledger/index.ts
+++ b/packages/request-ledger/index.ts
@@ -1,4 +1,4 @@
-/** Writes that run at most once, outcomes, and transactions. */
+/** At-most-once writes, settlement of idempotency keys, and transactions. */
 export * from './src/commit';
 export * from './src/confirm';
 export * from './src/group_access';
--- a/packages/request-ledger/src/commit.ts
+++ b/packages/request-ledger/src/commit.ts
@@ -1,4 +1,4 @@
-/** Commits: sending them, and finding out what became of a lost one. */
+/** Sends commits, and resolves the outcome of a commit without an answer. */
 import {
   Execution,
   Failure,
@@ -15,37 +15,37 @@
 import {leadershipAbove} from './group_access';
 import {RequestContext, remainingTime} from './request_context';
 import {settleKey} from './settle_key';
-import {outcomeUnknown} from './write';
+import {createOutcomeUnknownFailure} from './write';
 
-/** A transaction that is to be committed. */
+/** A request to commit a transaction. */
 export interface CommitRequest {
   readonly lease: Lease;
-  /** The target's id of the transaction. */
+  /** Transaction id assigned by the target. */
   readonly transaction: string;
-  /** Term in which it was begun. */
+  /** Term in which the transaction was begun. */
   readonly term: number;
   readonly key: IdempotencyKey;
 }
 
-/** What became of a commit. */
-export interface CommitEnd {
+/** Outcome of a commit. */
+export interface CommitOutcome {
   readonly result: Result<Execution, Failure>;
-  /** True if the transaction is still open: the commit may be sent again. */
+  /** True if the transaction is still open, so the commit can be retried. */
   readonly isOpen: boolean;
 }
 
-function ended(result: Result<Execution, Failure>): CommitEnd {
+function closedOutcome(result: Result<Execution, Failure>): CommitOutcome {
   return {result, isOpen: false};
 }
 
 /**
- * Commits and waits for the confirmation. The lease is given back or closed,
+ * Commits and waits for the confirmation. Releases or abandons the lease,
  * unless the transaction is still open at the end.
  */
 export function* runCommit(
   context: RequestContext,
   request: CommitRequest,
-): Task<CommitEnd> {
+): Task<CommitOutcome> {
   for (;;) {
     const reply = yield* sendCommit(context, request);
     if (reply === undefined || reply.err) {
@@ -56,14 +56,14 @@
         return {result: Err(createFailure('TIMED_OUT')), isOpen: true};
       }
       request.lease.abandon('commit failed or in doubt');
-      return ended(yield* concludeFailure(context, request, reply?.val));
+      return closedOutcome(yield* resolveFailure(context, request, reply?.val));
     }
     request.lease.release();
-    return ended(yield* concludeAnswer(context, request, reply.val));
+    return closedOutcome(yield* confirmExecution(context, request, reply.val));
   }
 }
 
-/** The answer; `undefined` if a newer primary came first. */
+/** Returns `undefined` if a newer primary is known before the answer arrives. */
 function* sendCommit(
   context: RequestContext,
   {lease, transaction, key, term}: CommitRequest,
@@ -85,7 +85,10 @@
   return failure.failure.name === 'WRITES_PAUSED';
 }
 
-/** Waits a little; false if the deadline comes first. */
+/**
+ * Waits for a backoff or a newer primary. Returns false at once if the backoff
+ * would reach the deadline.
+ */
 function* waitWhilePaused(
   context: RequestContext,
   {term}: CommitRequest,
@@ -101,56 +104,58 @@
   return true;
 }
 
-function* concludeAnswer(
+function* confirmExecution(
   context: RequestContext,
   {key}: CommitRequest,
   execution: Execution,
 ): Task<Result<Execution, Failure>> {
-  const fate = yield* awaitConfirmation(context, execution.at);
-  if (fate === 'confirmed') {
+  const confirmation = yield* awaitConfirmation(context, execution.at);
+  if (confirmation === 'confirmed') {
     return Ok(execution);
   }
-  // A superseded record is gone for good, and its transaction with it.
-  return fate === 'superseded'
+  // A superseded record is permanently discarded, and so is its transaction.
+  return confirmation === 'superseded'
     ? Err(createFailure('TRANSACTION_LOST'))
-    : Err(outcomeUnknown(key));
+    : Err(createOutcomeUnknownFailure(key));
 }
 
-function* concludeFailure(
+function* resolveFailure(
   context: RequestContext,
   {key}: CommitRequest,
   failure: RequestFailure | undefined,
 ): Task<Result<Execution, Failure>> {
-  const isDefinite =
+  const isKnownNotRun =
     failure !== undefined &&
     (!failure.sent ||
       (failure.kind === 'refused' && failure.failure.outcome === 'not_run'));
-  if (!isDefinite) {
+  if (!isKnownNotRun) {
     return yield* resolveCommit(context, [key]);
   }
-  // The one commit of the transaction was refused: it is rolled back.
-  const isOwnFault =
+  // The transaction's only commit was refused, so it is rolled back.
+  const isRequestError =
     failure.failure.name === 'STATEMENT_FAILED' ||
     failure.failure.name === 'KEY_MISMATCH';
-  return Err(isOwnFault ? failure.failure : createFailure('TRANSACTION_LOST'));
+  return Err(
+    isRequestError ? failure.failure : createFailure('TRANSACTION_LOST'),
+  );
 }
 
 /**
- * Finds what became of a commit that was sent under one of the keys; one that
- * had not arrived never will. The keys are all under which it may have been
- * sent.
+ * Resolves the outcome of a commit. `keys` must contain every key with which it
+ * may have been sent. A commit that has not run yet is cancelled and can no
+ * longer run.
  */
 export function* resolveCommit(
   context: RequestContext,
   keys: readonly IdempotencyKey[],
 ): Task<Result<Execution, Failure>> {
   for (const key of keys) {
-    const settledKey = yield* settleKey(context, key);
-    if (settledKey.err) {
-      return settledKey;
+    const settlement = yield* settleKey(context, key);
+    if (settlement.err) {
+      return settlement;
     }
-    if (settledKey.val.state === 'recorded') {
-      return Ok(settledKey.val.execution);
+    if (settlement.val.state === 'recorded') {
+      return Ok(settlement.val.execution);
     }
   }
   return Err(createFailure('TRANSACTION_LOST'));
--- a/packages/request-ledger/src/confirm.ts
+++ b/packages/request-ledger/src/confirm.ts
@@ -1,29 +1,29 @@
-/** Waiting for records to be confirmed. */
+/** Waits for log records to be confirmed. */
 import type {Confirmation} from '@kelpstep/failover';
 import type {LogPosition} from '@kelpstep/protocol';
 import {Task, waitFor} from '@kelpstep/runtime';
 
 import type {RequestContext} from './request_context';
 
-/** Waits for the fate of a record until the request's deadline. */
+/** Waits for a record's confirmation, until the request's deadline at most. */
 export function* awaitConfirmation(
   context: RequestContext,
   at: LogPosition,
 ): Task<Confirmation> {
   const {group, runtime, deadline} = context;
-  const since = runtime.timer.now();
-  const fate = yield* waitFor(group.view.confirmation(at, deadline));
-  if (fate === 'confirmed') {
-    group.noteConfirmationTime(runtime.timer.now() - since);
+  const startedAt = runtime.timer.now();
+  const confirmation = yield* waitFor(group.view.confirmation(at, deadline));
+  if (confirmation === 'confirmed') {
+    group.noteConfirmationTime(runtime.timer.now() - startedAt);
   }
-  return fate;
+  return confirmation;
 }
 
 /**
- * True if the target that answered as primary of `term` still was the primary
- * after it had answered, and all that its log held then is confirmed. An
- * answer that depends on the log, such as "this key is cancelled", counts only
- * then: a primary that was replaced may speak from records that vanish.
+ * True if the target that answered as primary of `term` was still the primary
+ * after its answer, and every record in its log at that time is confirmed. An
+ * answer that depends on the log, such as "this key is cancelled", is valid
+ * only then: a replaced primary may rely on records that are later discarded.
  */
 export function* verifyPrimary(
   context: RequestContext,
--- a/packages/request-ledger/src/group_access.ts
+++ b/packages/request-ledger/src/group_access.ts
@@ -1,38 +1,44 @@
-/** A group as the request path uses it: its view and its targets' pools. */
+/** Access to a group's view and target pools for the request path. */
 import type {GroupView, Leadership} from '@kelpstep/failover';
 import type {TargetPool} from '@kelpstep/pool';
 import type {Effect, Milliseconds} from '@kelpstep/runtime';
 
-/** A group with the pools of its members. */
+/** A group's view, the pools of its members and its availability. */
 export interface GroupAccess {
   readonly view: GroupView;
-  /** The pool of a member; undefined if the manifest has no such member. */
+  /** Returns `undefined` if the manifest has no such member. */
   pool(memberId: string): TargetPool | undefined;
-  /** False once a leaving primary has had its time to be switched over. */
+  /** False if the member has been leaving for longer than the grace period. */
   takesWrites(memberId: string): boolean;
-  /** When requests began to find no primary; undefined while they find one. */
+  /**
+   * Monotonic time since which requests have found no primary; `undefined`
+   * while they find one.
+   */
   troubleSince(): Milliseconds | undefined;
-  /** Since when too few members are reachable for a majority. */
+  /**
+   * Monotonic time since which no majority is reachable; `undefined` while one
+   * is.
+   */
   majorityLostSince(): Milliseconds | undefined;
-  /** True while the view of a group that was idle is still being opened. */
+  /** True while the view is being opened after the group was idle. */
   isCold(): boolean;
-  /** A request found no primary that serves it. */
+  /** Records that a request found no primary to serve it. */
   noteTrouble(): void;
-  /** A primary served a request. */
+  /** Records that a primary served a request. */
   noteService(): void;
-  /** Average time from a target's answer to its confirmation. */
+  /** Moving average of the time from a target's answer to its confirmation. */
   confirmationTime(): Milliseconds;
   noteConfirmationTime(duration: Milliseconds): void;
 }
 
-/** True if the view reaches more than half of the group's members. */
+/** True if more than half of the group's members are reachable. */
 export function reachesMajority(view: GroupView): boolean {
   const members = view.members();
   const reachable = members.filter(member => member.reachable).length;
   return 2 * reachable > members.length;
 }
 
-/** An effect that ends once the view knows a leadership above a term. */
+/** An effect that ends once the view knows a leadership of a higher term. */
 export function leadershipAbove(
   view: GroupView,
   term: number,
@@ -57,7 +63,7 @@
   };
 }
 
-/** An effect that ends with the next change of leadership or members. */
+/** An effect that ends at the next change of leadership or members. */
 export function nextChange(view: GroupView): Effect<undefined> {
   return {
     start(unusedTimer, resume) {
--- a/packages/request-ledger/src/idempotency_key.ts
+++ b/packages/request-ledger/src/idempotency_key.ts
@@ -1,20 +1,20 @@
-/** Idempotency keys: making them, and judging their age. */
+/** Creates idempotency keys and validates their age. */
 import {Failure, IdempotencyKey, createFailure} from '@kelpstep/protocol';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
 
-/** Bounds of a key's age. */
+/** Limits of a key's age. */
 export interface KeyAgeLimits {
   /** How long targets remember keys. */
   readonly retention: Milliseconds;
-  /** A key is refused this long before its targets forget it. */
+  /** How long before the end of its retention a key is refused. */
   readonly expiryMargin: Milliseconds;
-  /** A key may lie this far ahead of the proxy's clock. */
+  /** How far a key may be ahead of the proxy's wall clock. */
   readonly clockTolerance: Milliseconds;
 }
 
-const RANDOM_DIGITS = 24;
+const RANDOM_DIGIT_COUNT = 24;
 
-/** Creates keys that no other process creates. */
+/** Returns a generator of keys that are unique across processes. */
 export function createKeyMaker(
   runtime: Runtime,
   incarnation: string,
@@ -23,21 +23,21 @@
   let count = 0;
   return () => {
     count += 1;
-    const id = `${incarnation}-${count}-${random.hexadecimal(RANDOM_DIGITS)}`;
+    const id = `${incarnation}-${count}-${random.hexadecimal(RANDOM_DIGIT_COUNT)}`;
     return {id, issuedAt: Math.max(1, timer.wallClock())};
   };
 }
 
-/** The failure of a key that is too old: this sending runs nothing. */
-export function keyExpired(): Failure {
-  // An earlier sending may have run and been forgotten.
+/** Creates the failure of an expired key, for an attempt that ran nothing. */
+export function createKeyExpiredFailure(): Failure {
+  // An earlier attempt may have run and its record may have been removed.
   const message =
     'The key is past its retention. Nothing was run now; an earlier sending ' +
     'with this key may have been.';
   return createFailure('KEY_EXPIRED', {message});
 }
 
-/** Gives a failure if targets can't be relied on to remember the key. */
+/** Returns a failure if targets may not retain the key for long enough. */
 export function checkKeyAge(
   key: IdempotencyKey,
   wallClock: Milliseconds,
@@ -45,7 +45,7 @@
 ): Failure | undefined {
   const age = wallClock - key.issuedAt;
   if (age > limits.retention - limits.expiryMargin) {
-    return keyExpired();
+    return createKeyExpiredFailure();
   }
   if (age < -limits.clockTolerance) {
     return createFailure('KEY_FROM_FUTURE');
--- a/packages/request-ledger/src/ledger_policies.ts
+++ b/packages/request-ledger/src/ledger_policies.ts
@@ -1,21 +1,24 @@
-/** Policies of requests to a primary, each a function passed in. */
+/** Policies of requests to a primary: waiting, attempt time-outs and backoff. */
 import {BackoffPolicy, createExponentialBackoff} from '@kelpstep/pool';
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 
-/** What is known when a request finds no primary. */
-export interface FailoverOutlook {
+/** State on which a request without a primary decides whether to wait. */
+export interface FailoverConditions {
   readonly now: Milliseconds;
-  /** When requests of the group began to find none. */
+  /** Monotonic time since which the group's requests have found no primary. */
   readonly troubleSince: Milliseconds;
   readonly deadline: Milliseconds;
-  /** Since when no majority is reachable; undefined while one is. */
+  /**
+   * Monotonic time since which no majority is reachable; `undefined` while one
+   * is.
+   */
   readonly majorityLostSince: Milliseconds | undefined;
-  /** True while the view of a group that was idle is still being opened. */
+  /** True while the group's view is being opened after the group was idle. */
   readonly isCold: boolean;
 }
 
-/** What is known when an attempt starts. */
-export interface AttemptOutlook {
+/** Durations from which an attempt's time-out is computed. */
+export interface AttemptConditions {
   /** Time until the request's deadline. */
   readonly remaining: Milliseconds;
   /** Predicted time until the target answers. */
@@ -24,62 +27,69 @@
 
 /** Policies of requests to a primary. */
 export interface LedgerPolicies {
-  /** True if waiting for a failover makes sense. */
-  awaitsFailover(outlook: FailoverOutlook): boolean;
-  /** How long to wait for one answer before asking again. */
-  attemptTimeout(outlook: AttemptOutlook): Milliseconds;
-  /** Waits between attempts. */
+  /** True if the request should wait for a failover. */
+  shouldAwaitFailover(conditions: FailoverConditions): boolean;
+  /** How long to wait for an answer before the next attempt. */
+  attemptTimeout(conditions: AttemptConditions): Milliseconds;
+  /** Backoff between attempts. */
   readonly backoff: BackoffPolicy;
-  /** When a caller that found no primary is to come back. */
-  failoverRetryAfter(outlook: FailoverOutlook, random: Random): Milliseconds;
+  /** Retry delay for a caller whose request found no primary. */
+  failoverRetryAfter(
+    conditions: FailoverConditions,
+    random: Random,
+  ): Milliseconds;
 }
 
-/** A failover is usually over after this. */
-export const TYPICAL_FAILOVER: Milliseconds = 1_000;
-/** A failover that takes longer is not waited for. */
-export const LONGEST_FAILOVER: Milliseconds = 5_000;
-/** Without a majority for this long there won't be a failover soon. */
-export const MAJORITY_LOSS_PATIENCE: Milliseconds = 500;
+/** Typical duration of a failover. */
+export const TYPICAL_FAILOVER_MS: Milliseconds = 1_000;
+/** Requests stop waiting for a failover that takes longer. */
+export const MAXIMUM_FAILOVER_WAIT_MS: Milliseconds = 5_000;
+/** After this time without a majority, no failover is expected soon. */
+export const MAJORITY_LOSS_TOLERANCE_MS: Milliseconds = 500;
 
-const EXPECTED_TIMES_TOLERATED = 20;
-const SHORTEST_ATTEMPT: Milliseconds = 300;
+/** Attempt time-out in multiples of the predicted time until the answer. */
+const ATTEMPT_TIMEOUT_FACTOR = 20;
+const MINIMUM_ATTEMPT_TIMEOUT_MS: Milliseconds = 300;
 
-function awaitsFailover(outlook: FailoverOutlook): boolean {
-  const {now, troubleSince, deadline, majorityLostSince, isCold} = outlook;
+function shouldAwaitFailover(conditions: FailoverConditions): boolean {
+  const {now, troubleSince, deadline, majorityLostSince, isCold} = conditions;
   if (isCold) {
     return true;
   }
   const lostSince = majorityLostSince ?? now;
-  if (now - lostSince > MAJORITY_LOSS_PATIENCE) {
+  if (now - lostSince > MAJORITY_LOSS_TOLERANCE_MS) {
     return false;
   }
-  const isInTime = deadline > troubleSince + TYPICAL_FAILOVER;
-  return isInTime && now - troubleSince < LONGEST_FAILOVER;
+  const isInTime = deadline > troubleSince + TYPICAL_FAILOVER_MS;
+  return isInTime && now - troubleSince < MAXIMUM_FAILOVER_WAIT_MS;
 }
 
 function failoverRetryAfter(
-  {now, troubleSince}: FailoverOutlook,
+  {now, troubleSince}: FailoverConditions,
   random: Random,
 ): Milliseconds {
-  const rest = Math.max(0, troubleSince + TYPICAL_FAILOVER - now);
-  return Math.round(rest + TYPICAL_FAILOVER * random.fraction());
+  const remaining = Math.max(0, troubleSince + TYPICAL_FAILOVER_MS - now);
+  return Math.round(remaining + TYPICAL_FAILOVER_MS * random.fraction());
 }
 
 /**
- * Long enough for a slow answer, short enough that a connection that went
- * silent leaves time for another attempt.
+ * Leaves enough time for a slow answer, and limits the time spent on an
+ * unresponsive connection so that another attempt can follow.
  */
-function attemptTimeout({remaining, expected}: AttemptOutlook): Milliseconds {
-  const patience = Math.max(
-    SHORTEST_ATTEMPT,
-    EXPECTED_TIMES_TOLERATED * expected,
+function attemptTimeout({
+  remaining,
+  expected,
+}: AttemptConditions): Milliseconds {
+  const timeout = Math.max(
+    MINIMUM_ATTEMPT_TIMEOUT_MS,
+    ATTEMPT_TIMEOUT_FACTOR * expected,
   );
-  return Math.min(remaining, patience);
+  return Math.min(remaining, timeout);
 }
 
-/** Policies unless others are passed. */
+/** Default policies. */
 export const DEFAULT_LEDGER_POLICIES: LedgerPolicies = {
-  awaitsFailover,
+  shouldAwaitFailover,
   attemptTimeout,
   backoff: createExponentialBackoff({first: 5, longest: 200}),
   failoverRetryAfter,
--- a/packages/request-ledger/src/pinned_statement.ts
+++ b/packages/request-ledger/src/pinned_statement.ts
@@ -1,4 +1,4 @@
-/** Statements of a transaction. */
+/** Runs the statements of a pinned transaction. */
 import {
   ErrorName,
   Failure,
@@ -20,23 +20,28 @@
   TransactionStatement,
 } from './transaction_types';
 
-const LOST: ReadonlySet<ErrorName> = new Set<ErrorName>([
+const LOST_TRANSACTION_ERRORS: ReadonlySet<ErrorName> = new Set<ErrorName>([
   'TRANSACTION_LOST',
   'TRANSACTION_UNKNOWN',
   'TERM_TOO_LOW',
   'NOT_PRIMARY',
 ]);
 
-/** The higher of two log positions. */
-export function higher(left: LogPosition, right: LogPosition): LogPosition {
+export function laterLogPosition(
+  left: LogPosition,
+  right: LogPosition,
+): LogPosition {
   return compareLogPositions(left, right) >= 0 ? left : right;
 }
 
-function lost<T>(): Result<T, Failure> {
+function transactionLost<T>(): Result<T, Failure> {
   return Err(createFailure('TRANSACTION_LOST'));
 }
 
-/** Runs a statement of a transaction and waits until what it saw is confirmed. */
+/**
+ * Runs a statement of a transaction and waits until the log position of its
+ * answer is confirmed.
+ */
 export function* runPinnedStatement(
   context: RequestContext,
   transaction: PinnedTransaction,
@@ -55,44 +60,49 @@
     lease.request(targetExecute, parameters, remainingTime(context)),
   );
   if (reply === undefined) {
-    return lost();
+    return transactionLost();
   }
   if (reply.err) {
-    return yield* concludeFailure(context, transaction, reply.val);
+    return yield* resolveFailure(context, transaction, reply.val);
   }
   const execution = reply.val;
-  const floor = higher(transaction.floor, seen);
-  if (compareLogPositions(execution.at, floor) < 0) {
-    return lost();
+  const minimumPosition = laterLogPosition(transaction.minimumPosition, seen);
+  if (compareLogPositions(execution.at, minimumPosition) < 0) {
+    return transactionLost();
   }
-  const fate = yield* awaitConfirmation(context, execution.at);
-  if (fate === 'superseded') {
-    return lost();
+  const confirmation = yield* awaitConfirmation(context, execution.at);
+  if (confirmation === 'superseded') {
+    return transactionLost();
   }
-  return fate === 'confirmed'
+  return confirmation === 'confirmed'
     ? Ok({execution, target: primary, freshAt})
     : Err(createFailure('TIMED_OUT'));
 }
 
-/** Waits for an answer; `undefined` if a newer primary comes first. */
+/** Returns `undefined` if a newer primary is known before the answer arrives. */
 function* untilReplaced<A>(
   {group, term}: PinnedTransaction,
   answer: Future<A>,
 ): Task<A | undefined> {
-  const newer = leadershipAbove(group.view, term);
-  const winner = yield* perform(race<unknown>([settled(answer), newer]));
+  const newerLeadership = leadershipAbove(group.view, term);
+  const winner = yield* perform(
+    race<unknown>([settled(answer), newerLeadership]),
+  );
   return winner.index === 0 ? (winner.value as A) : undefined;
 }
 
-function* concludeFailure(
+function* resolveFailure(
   context: RequestContext,
   {term}: PinnedTransaction,
   failure: RequestFailure,
 ): Task<Result<TransactionAnswer, Failure>> {
-  // Without an answer the connection is closed, which rolls back.
-  if (failure.kind !== 'refused' || LOST.has(failure.failure.name)) {
-    return lost();
+  // Without an answer the connection is closed, which rolls it back.
+  if (
+    failure.kind !== 'refused' ||
+    LOST_TRANSACTION_ERRORS.has(failure.failure.name)
+  ) {
+    return transactionLost();
   }
-  const isCertain = yield* verifyPrimary(context, term);
-  return isCertain ? Err(failure.failure) : lost();
+  const isVerified = yield* verifyPrimary(context, term);
+  return isVerified ? Err(failure.failure) : transactionLost();
 }
--- a/packages/request-ledger/src/pinned_transaction.ts
+++ b/packages/request-ledger/src/pinned_transaction.ts
@@ -1,83 +1,92 @@
-/** A transaction pinned to a connection, and the watch over it. */
+/** A transaction pinned to a connection, and the monitoring of its lifetime. */
 import type {Lease} from '@kelpstep/pool';
 import type {LogPosition} from '@kelpstep/protocol';
 import type {Milliseconds, TimerService, Unsubscribe} from '@kelpstep/runtime';
 
 import type {GroupAccess} from './group_access';
 
-/** A transaction that this proxy holds. */
+/** An open transaction of this proxy. */
 export interface PinnedTransaction {
   readonly id: string;
   readonly group: GroupAccess;
   readonly lease: Lease;
-  /** The target's id of the transaction. */
+  /** Transaction id assigned by the target. */
   readonly transaction: string;
   readonly term: number;
   readonly primary: string;
-  /** The begin's read barrier, and what the session had seen. */
-  readonly floor: LogPosition;
+  /**
+   * Later of the read barrier at the begin and the position that the session
+   * had seen: every statement must see at least this position.
+   */
+  readonly minimumPosition: LogPosition;
   readonly freshAt: Milliseconds;
-  readonly endsAt: Milliseconds;
-  usedAt: Milliseconds;
+  readonly expiresAt: Milliseconds;
+  lastUsedAt: Milliseconds;
   isBusy: boolean;
-  stopWatching: Unsubscribe;
+  stopMonitoring: Unsubscribe;
 }
 
-/** What the watch tells of. */
-export interface WatchListener {
-  /** The connection ended by itself. */
+/** Receives the end of a monitored transaction. */
+export interface TransactionListener {
+  /** The connection closed while no statement was running. */
   onClosed(): void;
-  /** The transaction has to end; no statement is running in it. */
+  /** The transaction must end. No statement is running in it. */
   onExpired(reason: string): void;
 }
 
-/** How long a statement that runs past the limits is waited for at a time. */
-const BUSY_RECHECK: Milliseconds = 100;
+/** Interval of expiry checks while a statement runs past the limits. */
+const BUSY_RECHECK_INTERVAL_MS: Milliseconds = 100;
 
-/** True once a later primary than the transaction's is known. */
+/** True if a primary of a higher term than the transaction's is known. */
 export function isReplaced({group, term}: PinnedTransaction): boolean {
   const leadership = group.view.leadership();
   return leadership !== undefined && leadership.term > term;
 }
 
 /**
- * Watches the transaction's time, primary and connection, with one timer. A
- * statement that is running is never cut off: its end asks again.
+ * Monitors the transaction's expiry, primary and connection, with one timer. A
+ * running statement is never interrupted; the checks are repeated when it ends.
  */
-export function watchTransaction(
+export function monitorTransaction(
   timer: TimerService,
   transaction: PinnedTransaction,
   idleTime: Milliseconds,
-  listener: WatchListener,
+  listener: TransactionListener,
 ): Unsubscribe {
   const {group, lease} = transaction;
   let cancelTimer: Unsubscribe = () => {};
-  const stopFollowing = group.view.onChange(() => {
+  const unsubscribeFromView = group.view.onChange(() => {
     if (!transaction.isBusy && isReplaced(transaction)) {
       listener.onExpired('the primary was replaced');
     }
   });
-  const ignoreClose = lease.closed.onSettled(() => {
+  const unsubscribeFromClose = lease.closed.onSettled(() => {
     if (!transaction.isBusy) {
       listener.onClosed();
     }
   });
 
-  function checkTime(): void {
+  function checkExpiry(): void {
     const now = timer.now();
-    const end = Math.min(transaction.usedAt + idleTime, transaction.endsAt);
-    if (now >= end && !transaction.isBusy) {
+    const expiresAt = Math.min(
+      transaction.lastUsedAt + idleTime,
+      transaction.expiresAt,
+    );
+    if (now >= expiresAt && !transaction.isBusy) {
       listener.onExpired('past its time');
       return;
     }
-    const least = transaction.isBusy ? BUSY_RECHECK : 0;
-    cancelTimer = timer.after(Math.max(end - now, least), checkTime);
+    const minimumDelay = transaction.isBusy ? BUSY_RECHECK_INTERVAL_MS : 0;
+    cancelTimer = timer.after(
+      Math.max(expiresAt - now, minimumDelay),
+      checkExpiry,
+    );
   }
 
-  checkTime();
+  checkExpiry();
   return () => {
-    stopFollowing();
-    ignoreClose();
+    unsubscribeFromView();
+    unsubscribeFromClose();
     cancelTimer();
   };
 }
--- a/packages/request-ledger/src/primary_calls.ts
+++ b/packages/request-ledger/src/primary_calls.ts
@@ -1,6 +1,6 @@
 /**
- * Requests to whoever is primary: repeated over failovers, pauses and lost
- * answers until there is an answer that means something, or no time.
+ * Requests to the current primary, retried after failovers, write pauses and
+ * lost answers until there is a conclusive answer or the deadline has passed.
  */
 import type {Leadership} from '@kelpstep/failover';
 import type {Attempt, TargetPool, Work} from '@kelpstep/pool';
@@ -19,7 +19,7 @@
 import {leadershipAbove, nextChange, reachesMajority} from './group_access';
 import {RequestContext, remainingTime} from './request_context';
 
-/** What an attempt is told. */
+/** Parameters of an attempt. */
 export interface PrimaryAttempt {
   readonly pool: TargetPool;
   readonly work: Work;
@@ -37,13 +37,16 @@
       readonly attempt: A;
       readonly leadership: Leadership;
     }
-  /** Refused for a reason that lies in the request or in the data. */
+  /** Refused because of the request itself or the data. */
   | {
       readonly kind: 'refused';
       readonly failure: Failure;
       readonly leadership: Leadership;
     }
-  /** No answer in time. The failure's `not_run` is about this call only. */
+  /**
+   * No conclusive answer. A failure outcome of `not_run` does not cover earlier
+   * attempts; see `mayHaveRun`.
+   */
   | {readonly kind: 'gave-up'; readonly failure: Failure};
 
 /** Calls to the primary on behalf of one request. */
@@ -52,35 +55,34 @@
     send: SendAttempt<A>,
     onAbandoned?: (attempt: A) => void,
   ): Task<PrimaryOutcome<A>>;
-  /** Waits for a primary as `call` does; the refusal if there is none. */
-  refusal(): Task<Failure | undefined>;
-  /** True if an attempt may have run, or may yet run, without our knowing. */
+  /** Waits for a primary as `call` does; returns a failure if there is none. */
+  checkPrimary(): Task<Failure | undefined>;
+  /** True if an attempt without a known outcome may have run or may still run. */
   mayHaveRun(): boolean;
 }
 
-/** Refusals that say who leads, or that the primary pauses; nothing ran. */
+/** Refusals due to a change of primary or paused writes; nothing was run. */
 const LEADERSHIP_REFUSALS: ReadonlySet<ErrorName> = new Set<ErrorName>([
   'TERM_TOO_LOW',
   'NOT_PRIMARY',
   'WRITES_PAUSED',
 ]);
 
-function isDefinite(failure: RequestFailure): boolean {
+function isKnownNotRun(failure: RequestFailure): boolean {
   return (
     !failure.sent ||
     (failure.kind === 'refused' && failure.failure.outcome === 'not_run')
   );
 }
 
-/** Creates the calls of one request. */
 export function createPrimaryCalls(context: RequestContext): PrimaryCalls {
   const {group, runtime, policies, notes} = context;
   const {view} = group;
   const {timer, random} = runtime;
   let attempts = 0;
-  let ambiguous = false;
+  let isAmbiguous = false;
 
-  function outlook() {
+  function failoverConditions() {
     return {
       now: timer.now(),
       troubleSince: group.troubleSince() ?? timer.now(),
@@ -90,12 +92,15 @@
     };
   }
 
-  function noPrimary(): Failure {
-    const retryAfter = policies.failoverRetryAfter(outlook(), random);
+  function createNoPrimaryFailure(): Failure {
+    const retryAfter = policies.failoverRetryAfter(
+      failoverConditions(),
+      random,
+    );
     return createFailure('NO_PRIMARY', {retryAfter});
   }
 
-  function timedOut(): Failure {
+  function createTimeoutFailure(): Failure {
     return createFailure('TIMED_OUT');
   }
 
@@ -109,7 +114,7 @@
       : undefined;
   }
 
-  /** Waits for a primary as long as that makes sense. */
+  /** Waits for a usable primary as long as the policies allow. */
   function* awaitPrimary(): Task<Leadership | undefined> {
     for (;;) {
       const leadership = usableLeadership();
@@ -117,26 +122,32 @@
         return leadership;
       }
       group.noteTrouble();
-      if (remainingTime(context) <= 0 || !policies.awaitsFailover(outlook())) {
+      if (
+        remainingTime(context) <= 0 ||
+        !policies.shouldAwaitFailover(failoverConditions())
+      ) {
         return undefined;
       }
-      yield* pause([nextChange(view)]);
+      yield* backOff([nextChange(view)]);
     }
   }
 
-  /** Waits for one of the effects or a backoff, within the deadline. */
-  function* pause(effects: Parameters<typeof race>[0]): Task<void> {
+  /** Waits for one of the effects or for the backoff, until the deadline. */
+  function* backOff(effects: Parameters<typeof race>[0]): Task<void> {
     const wait = policies.backoff(Math.max(1, attempts), random);
     const limited = Math.max(0, Math.min(wait, remainingTime(context)));
     yield* perform(race([...effects, delay(limited)]));
   }
 
-  function workOf(): Work {
+  function createWork(): Work {
     const {kind, worth, deadline} = context;
     return {kind, worth, deadline: deadline - group.confirmationTime()};
   }
 
-  /** The attempt's end; undefined if a newer primary came first. */
+  /**
+   * Returns the finished attempt, or `undefined` if a newer primary is known
+   * first; `onAbandoned` then receives the attempt when it finishes.
+   */
   function* attemptOnce<A extends Attempt<unknown>>(
     {term, primary}: Leadership,
     send: SendAttempt<A>,
@@ -149,7 +160,7 @@
     });
     attempts += 1;
     notes.retries = attempts - 1;
-    const future = send({pool, work: workOf(), term, timeout});
+    const future = send({pool, work: createWork(), term, timeout});
     const winner = yield* perform(
       race<unknown>([settled(future), leadershipAbove(view, term)]),
     );
@@ -160,8 +171,11 @@
     return undefined;
   }
 
-  /** Notes what a failure shows, and waits before the next attempt. */
-  function* afterFailure(
+  /**
+   * Updates the view from a failure and waits before the next attempt. Returns
+   * a failure if there is to be none.
+   */
+  function* handleFailure(
     failure: RequestFailure,
     {term, primary}: Leadership,
   ): Task<Failure | undefined> {
@@ -175,8 +189,8 @@
     if (failure.kind === 'timeout' || failure.kind === 'closed') {
       view.observeSilence(primary);
     }
-    if (!isDefinite(failure)) {
-      ambiguous = true;
+    if (!isKnownNotRun(failure)) {
+      isAmbiguous = true;
     }
     return yield* waitForRetry(failure, term);
   }
@@ -185,29 +199,32 @@
     failure: RequestFailure,
     term: number,
   ): Task<Failure | undefined> {
-    const sawLeadership = LEADERSHIP_REFUSALS.has(failure.failure.name);
-    if (!sawLeadership && failure.sent) {
-      return yield* spendRetry(term);
+    const isLeadershipRefusal = LEADERSHIP_REFUSALS.has(failure.failure.name);
+    if (!isLeadershipRefusal && failure.sent) {
+      return yield* retryWithinBudget(term);
     }
     group.noteTrouble();
-    if (!policies.awaitsFailover(outlook())) {
-      return noPrimary();
+    if (!policies.shouldAwaitFailover(failoverConditions())) {
+      return createNoPrimaryFailure();
     }
-    yield* pause([leadershipAbove(view, term)]);
+    yield* backOff([leadershipAbove(view, term)]);
     return undefined;
   }
 
-  /** A request that may have run goes on asking, if more slowly. */
-  function* spendRetry(term: number): Task<Failure | undefined> {
+  /**
+   * Takes a retry from the budget. With an empty budget, a request that may
+   * have run is still retried, but after a longer backoff.
+   */
+  function* retryWithinBudget(term: number): Task<Failure | undefined> {
     if (!context.retryBudget.withdraw()) {
-      if (!ambiguous) {
+      if (!isAmbiguous) {
         return createFailure('OVERLOADED', {
-          retryAfter: policies.failoverRetryAfter(outlook(), random),
+          retryAfter: policies.failoverRetryAfter(failoverConditions(), random),
         });
       }
       attempts += 2;
     }
-    yield* pause([leadershipAbove(view, term)]);
+    yield* backOff([leadershipAbove(view, term)]);
     return undefined;
   }
 
@@ -218,14 +235,14 @@
     for (;;) {
       const leadership = yield* awaitPrimary();
       if (leadership === undefined) {
-        return {kind: 'gave-up', failure: noPrimary()};
+        return {kind: 'gave-up', failure: createNoPrimaryFailure()};
       }
       if (remainingTime(context) <= 0) {
-        return {kind: 'gave-up', failure: timedOut()};
+        return {kind: 'gave-up', failure: createTimeoutFailure()};
       }
       const attempt = yield* attemptOnce(leadership, send, onAbandoned);
       if (attempt === undefined) {
-        ambiguous = true;
+        isAmbiguous = true;
         continue;
       }
       notes.queueTime += attempt.queueTime;
@@ -236,26 +253,26 @@
         return {kind: 'answered', attempt, leadership};
       }
       const failure = attempt.reply.val;
-      if (isAboutRequest(failure)) {
+      if (isRequestError(failure)) {
         return {kind: 'refused', failure: failure.failure, leadership};
       }
-      const final = yield* afterFailure(failure, leadership);
+      const final = yield* handleFailure(failure, leadership);
       if (final !== undefined) {
         return {kind: 'gave-up', failure: final};
       }
     }
   }
 
-  function* refusal(): Task<Failure | undefined> {
+  function* checkPrimary(): Task<Failure | undefined> {
     const leadership = yield* awaitPrimary();
-    return leadership === undefined ? noPrimary() : undefined;
+    return leadership === undefined ? createNoPrimaryFailure() : undefined;
   }
 
-  return {call, refusal, mayHaveRun: () => ambiguous};
+  return {call, checkPrimary, mayHaveRun: () => isAmbiguous};
 }
 
-/** True if asking another primary, or again, would not help. */
-function isAboutRequest(failure: RequestFailure): boolean {
+/** True if a retry, or another primary, would refuse the request again. */
+function isRequestError(failure: RequestFailure): boolean {
   return (
     failure.kind === 'refused' &&
     failure.sent &&
--- a/packages/request-ledger/src/request_context.ts
+++ b/packages/request-ledger/src/request_context.ts
@@ -1,11 +1,11 @@
-/** What a request carries through the request path. */
+/** State of a request on the request path. */
 import type {RetryBudget} from '@kelpstep/pool';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
 
 import type {GroupAccess} from './group_access';
 import type {LedgerPolicies} from './ledger_policies';
 
-/** What is noted about a request while it is served. */
+/** Data collected while a request is served. */
 export interface RequestNotes {
   retries: number;
   queueTime: Milliseconds;
@@ -14,21 +14,20 @@
   age: Milliseconds | undefined;
 }
 
-/** A request on its way. */
+/** A request that is being served. */
 export interface RequestContext {
   readonly runtime: Runtime;
   readonly group: GroupAccess;
-  /** Names requests that take about the same time. */
+  /** Groups requests of similar service time. */
   readonly kind: string;
   readonly worth: number;
-  /** Monotonic time after which no answer is wanted. */
+  /** Monotonic time by which the request must be answered. */
   readonly deadline: Milliseconds;
   readonly policies: LedgerPolicies;
   readonly retryBudget: RetryBudget;
   readonly notes: RequestNotes;
 }
 
-/** Notes without content. */
 export function createRequestNotes(): RequestNotes {
   return {
     retries: 0,
@@ -39,7 +38,7 @@
   };
 }
 
-/** Time until the deadline; negative past it. */
+/** Returns the time until the deadline; negative after it. */
 export function remainingTime(context: RequestContext): Milliseconds {
   return context.deadline - context.runtime.timer.now();
 }
--- a/packages/request-ledger/src/settle_key.ts
+++ b/packages/request-ledger/src/settle_key.ts
@@ -1,4 +1,4 @@
-/** Settling the outcome of a key for good. */
+/** Determines the final outcome of an idempotency key. */
 import {
   Failure,
   IdempotencyKey,
@@ -10,18 +10,18 @@
 import {Err, Ok, Result} from 'ts-results';
 
 import {awaitConfirmation} from './confirm';
-import {keyExpired} from './idempotency_key';
+import {createKeyExpiredFailure} from './idempotency_key';
 import {PrimaryAttempt, createPrimaryCalls} from './primary_calls';
 import type {RequestContext} from './request_context';
 
-/** The position of the record that settles a key. */
+/** Returns the log position of the record that settles a key. */
 export function settledAt(state: KeyState) {
   return state.state === 'recorded' ? state.execution.at : state.at;
 }
 
 /**
  * Finds the recorded execution of a key, or cancels the key so that it can
- * never run. Answers only once a majority holds the record that says so. Any
+ * never run. Returns only once a majority holds the record that settles it. Any
  * failure means that the outcome is still unknown.
  */
 export function* settleKey(
@@ -38,25 +38,28 @@
   for (;;) {
     const outcome = yield* calls.call(send);
     if (outcome.kind !== 'answered') {
-      return Err(unsettled(outcome.failure));
+      return Err(createUnsettledFailure(outcome.failure));
     }
     const {reply} = outcome.attempt;
     if (reply.err) {
       continue;
     }
-    const fate = yield* awaitConfirmation(context, settledAt(reply.val));
-    if (fate === 'confirmed') {
+    const confirmation = yield* awaitConfirmation(
+      context,
+      settledAt(reply.val),
+    );
+    if (confirmation === 'confirmed') {
       return Ok(reply.val);
     }
-    if (fate === 'undecided') {
+    if (confirmation === 'undecided') {
       return Err(createFailure('OUTCOME_UNKNOWN'));
     }
   }
 }
 
-function unsettled(failure: Failure): Failure {
+function createUnsettledFailure(failure: Failure): Failure {
   if (failure.name === 'KEY_EXPIRED') {
-    return keyExpired();
+    return createKeyExpiredFailure();
   }
   const {message, retryAfter} = failure;
   return createFailure('OUTCOME_UNKNOWN', {
--- a/packages/request-ledger/src/transaction_id.ts
+++ b/packages/request-ledger/src/transaction_id.ts
@@ -1,20 +1,20 @@
 /**
- * Transaction ids. An id names the proxy that holds the transaction, so that
- * any proxy can find it, and holds what its commit's key is made of, so that
- * any proxy can settle the commit once its owner is gone.
+ * Transaction ids. An id contains the proxy that owns the transaction, so that
+ * any proxy can forward to it, and the data of the commit's idempotency key, so
+ * that any proxy can settle the commit after the owner has stopped.
  */
 import type {IdempotencyKey} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
 /** The parts of a transaction id. */
 export interface TransactionName {
-  /** Owner's proxy id. */
+  /** Id of the owning proxy. */
   readonly proxy: string;
   readonly incarnation: string;
   readonly group: string;
-  /** Wall clock at the begin, milliseconds since 1970. */
+  /** Wall clock at the begin, in milliseconds since 1970. */
   readonly begunAt: Milliseconds;
-  /** Random text. */
+  /** Random hexadecimal digits. */
   readonly nonce: string;
 }
 
@@ -22,18 +22,17 @@
 const SEPARATOR = ':';
 const PART_COUNT = 6;
 const TIME_RADIX = 36;
-/** Digits of the random part. */
+/** Number of hexadecimal digits of the nonce. */
 export const NONCE_DIGITS = 16;
 
-/** Gives the id. */
-export function formatTransactionId(name: TransactionName): string {
+export function formatTransactionId(parts: TransactionName): string {
   return [
     PREFIX,
-    encodeURIComponent(name.proxy),
-    encodeURIComponent(name.incarnation),
-    name.group,
-    name.begunAt.toString(TIME_RADIX),
-    name.nonce,
+    encodeURIComponent(parts.proxy),
+    encodeURIComponent(parts.incarnation),
+    parts.group,
+    parts.begunAt.toString(TIME_RADIX),
+    parts.nonce,
   ].join(SEPARATOR);
 }
 
@@ -45,25 +44,32 @@
   }
 }
 
-/** Reads an id; `undefined` unless `formatTransactionId` gives it. */
+/**
+ * Parses an id. Returns `undefined` for any text that `formatTransactionId`
+ * does not produce.
+ */
 export function parseTransactionId(id: string): TransactionName | undefined {
-  const parts = id.split(SEPARATOR);
-  if (parts.length !== PART_COUNT || parts[0] !== PREFIX) {
+  const fields = id.split(SEPARATOR);
+  if (fields.length !== PART_COUNT || fields[0] !== PREFIX) {
     return undefined;
   }
-  const [, proxyPart = '', incarnationPart = '', group = '', time = ''] = parts;
+  const [, proxyPart = '', incarnationPart = '', group = '', time = ''] =
+    fields;
   const proxy = decodePart(proxyPart);
   const incarnation = decodePart(incarnationPart);
   const begunAt = parseInt(time, TIME_RADIX);
-  const nonce = parts[PART_COUNT - 1] ?? '';
+  const nonce = fields[PART_COUNT - 1] ?? '';
   if (proxy === undefined || incarnation === undefined || !(begunAt > 0)) {
     return undefined;
   }
-  const name = {proxy, incarnation, group, begunAt, nonce};
-  return formatTransactionId(name) === id ? name : undefined;
+  const parts = {proxy, incarnation, group, begunAt, nonce};
+  return formatTransactionId(parts) === id ? parts : undefined;
 }
 
-/** The key of a commit for which its caller gave none. */
-export function commitKeyOf(id: string, name: TransactionName): IdempotencyKey {
-  return {id, issuedAt: name.begunAt};
+/** Returns the key of a commit for which the caller passed none. */
+export function commitKeyOf(
+  id: string,
+  parts: TransactionName,
+): IdempotencyKey {
+  return {id, issuedAt: parts.begunAt};
 }
--- a/packages/request-ledger/src/transaction_table.ts
+++ b/packages/request-ledger/src/transaction_table.ts
@@ -1,4 +1,4 @@
-/** The transactions that this proxy holds, each pinned to a connection. */
+/** The open transactions of this proxy, each pinned to a connection. */
 import {
   Execution,
   Failure,
@@ -11,13 +11,13 @@
 import {Task, createDeferred, settledFuture, waitFor} from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
 
-import {CommitEnd, runCommit} from './commit';
+import {CommitOutcome, runCommit} from './commit';
 import {awaitConfirmation} from './confirm';
-import {higher, runPinnedStatement} from './pinned_statement';
+import {laterLogPosition, runPinnedStatement} from './pinned_statement';
 import {
   PinnedTransaction,
   isReplaced,
-  watchTransaction,
+  monitorTransaction,
 } from './pinned_transaction';
 import {PrimaryAttempt, createPrimaryCalls} from './primary_calls';
 import {RequestContext, remainingTime} from './request_context';
@@ -28,33 +28,33 @@
   TransactionTableOptions,
 } from './transaction_types';
 
-/** Creates a table without transactions. */
+/** Creates an empty table. */
 export function createTransactionTable(
   options: TransactionTableOptions,
 ): TransactionTable {
   const {timer} = options.runtime;
   const transactions = new Map<string, PinnedTransaction>();
-  let emptied = createDeferred<undefined>();
-  let isEnding = false;
+  let emptySignal = createDeferred<undefined>();
+  let isStopping = false;
 
-  function lost<T>(): Result<T, Failure> {
+  function transactionLost<T>(): Result<T, Failure> {
     return Err(createFailure('TRANSACTION_LOST'));
   }
 
-  function forget(transaction: PinnedTransaction): void {
+  function remove(transaction: PinnedTransaction): void {
     if (!transactions.delete(transaction.id)) {
       return;
     }
-    transaction.stopWatching();
+    transaction.stopMonitoring();
     if (transactions.size === 0) {
-      const waiting = emptied;
-      emptied = createDeferred<undefined>();
-      waiting.settle(undefined);
+      const previousSignal = emptySignal;
+      emptySignal = createDeferred<undefined>();
+      previousSignal.settle(undefined);
     }
   }
 
-  function drop(transaction: PinnedTransaction, reason: string): void {
-    forget(transaction);
+  function discard(transaction: PinnedTransaction, reason: string): void {
+    remove(transaction);
     transaction.lease.abandon(reason);
   }
 
@@ -65,7 +65,7 @@
   ): Task<Result<LogPosition, Failure>> {
     const {view} = context.group;
     const calls = createPrimaryCalls(context);
-    const refusal = yield* calls.refusal();
+    const refusal = yield* calls.checkPrimary();
     if (refusal !== undefined) {
       return Err(refusal);
     }
@@ -74,15 +74,16 @@
     if (barrier === undefined) {
       return Err(createFailure('NO_PRIMARY'));
     }
-    // The floor goes out in tokens, which name confirmed records only.
+    // The minimum position is sent in session tokens, which contain confirmed
+    // positions only.
     if ((yield* awaitConfirmation(context, barrier)) !== 'confirmed') {
       return Err(createFailure('NO_PRIMARY'));
     }
-    const floor = higher(barrier, seen);
+    const minimumPosition = laterLogPosition(barrier, seen);
     const outcome = yield* calls.call(
       ({pool, work, term, timeout}: PrimaryAttempt) =>
         pool.lease({work, method: targetBegin, parameters: {term}, timeout}),
-      late => late.lease?.abandon('given up'),
+      lateAttempt => lateAttempt.lease?.abandon('given up'),
     );
     if (outcome.kind !== 'answered') {
       return Err({...outcome.failure, outcome: 'not_run'});
@@ -92,7 +93,7 @@
     if (reply.err || lease === undefined) {
       return Err(createFailure('NO_PRIMARY'));
     }
-    if (isEnding) {
+    if (isStopping) {
       lease.abandon('stopping');
       return Err(createFailure('STOPPING'));
     }
@@ -104,31 +105,31 @@
       transaction: reply.val.transaction,
       term: leadership.term,
       primary: leadership.primary,
-      floor,
+      minimumPosition,
       freshAt,
-      usedAt: now,
-      endsAt: now + options.totalTime,
+      lastUsedAt: now,
+      expiresAt: now + options.totalTime,
       isBusy: false,
-      stopWatching: () => {},
+      stopMonitoring: () => {},
     };
     transactions.set(id, transaction);
-    transaction.stopWatching = watchTransaction(
+    transaction.stopMonitoring = monitorTransaction(
       timer,
       transaction,
       options.idleTime,
       {
-        onClosed: () => forget(transaction),
-        onExpired: reason => drop(transaction, reason),
+        onClosed: () => remove(transaction),
+        onExpired: reason => discard(transaction, reason),
       },
     );
-    return Ok(floor);
+    return Ok(minimumPosition);
   }
 
-  /** Takes a transaction for one statement, which must give it back. */
-  function take(id: string): Result<PinnedTransaction, Failure> {
+  /** Reserves a transaction for one statement, which must release it. */
+  function acquire(id: string): Result<PinnedTransaction, Failure> {
     const transaction = transactions.get(id);
     if (transaction === undefined) {
-      return lost();
+      return transactionLost();
     }
     if (transaction.isBusy) {
       return Err(createFailure('TRANSACTION_BUSY'));
@@ -137,12 +138,12 @@
     return Ok(transaction);
   }
 
-  function giveBack(transaction: PinnedTransaction): void {
+  function release(transaction: PinnedTransaction): void {
     transaction.isBusy = false;
-    transaction.usedAt = timer.now();
+    transaction.lastUsedAt = timer.now();
     const isClosed = transaction.lease.closed.isSettled();
-    if (isEnding || isClosed || isReplaced(transaction)) {
-      drop(transaction, 'stopping or replaced');
+    if (isStopping || isClosed || isReplaced(transaction)) {
+      discard(transaction, 'stopping or replaced');
     }
   }
 
@@ -151,19 +152,19 @@
     id: string,
     request: TransactionStatement,
   ): Task<Result<TransactionAnswer, Failure>> {
-    const taken = take(id);
-    if (taken.err) {
-      return taken;
+    const acquired = acquire(id);
+    if (acquired.err) {
+      return acquired;
     }
-    const transaction = taken.val;
+    const transaction = acquired.val;
     try {
       const answer = yield* runPinnedStatement(context, transaction, request);
       if (answer.err && answer.val.name === 'TRANSACTION_LOST') {
-        drop(transaction, 'lost');
+        discard(transaction, 'lost');
       }
       return answer;
     } finally {
-      giveBack(transaction);
+      release(transaction);
     }
   }
 
@@ -172,26 +173,26 @@
     id: string,
     key: IdempotencyKey,
   ): Task<Result<Execution, Failure>> {
-    const taken = take(id);
-    if (taken.err) {
-      return taken;
+    const acquired = acquire(id);
+    if (acquired.err) {
+      return acquired;
     }
-    const transaction = taken.val;
+    const transaction = acquired.val;
     const {lease, term} = transaction;
-    let end: CommitEnd | undefined;
+    let outcome: CommitOutcome | undefined;
     try {
-      end = yield* runCommit(context, {
+      outcome = yield* runCommit(context, {
         lease,
         transaction: transaction.transaction,
         term,
         key,
       });
-      return end.result;
+      return outcome.result;
     } finally {
-      if (end?.isOpen === true) {
-        giveBack(transaction);
+      if (outcome?.isOpen === true) {
+        release(transaction);
       } else {
-        drop(transaction, 'committed or lost');
+        discard(transaction, 'committed or lost');
       }
     }
   }
@@ -200,25 +201,25 @@
     context: RequestContext,
     id: string,
   ): Task<Result<LogPosition, Failure>> {
-    const taken = take(id);
-    if (taken.err) {
-      return taken;
+    const acquired = acquire(id);
+    if (acquired.err) {
+      return acquired;
     }
-    const {lease, transaction, floor} = taken.val;
-    forget(taken.val);
+    const {lease, transaction, minimumPosition} = acquired.val;
+    remove(acquired.val);
     yield* waitFor(
       lease.request(targetRollback, {transaction}, remainingTime(context)),
     );
-    // Without an answer the connection is closed, which rolls back too.
+    // Without an answer the connection is closed, which also rolls back.
     lease.release();
-    return Ok(floor);
+    return Ok(minimumPosition);
   }
 
   function endAll(): void {
-    isEnding = true;
+    isStopping = true;
     for (const transaction of [...transactions.values()]) {
       if (!transaction.isBusy) {
-        drop(transaction, 'stopping');
+        discard(transaction, 'stopping');
       }
     }
   }
@@ -231,7 +232,7 @@
     rollBack,
     size: () => transactions.size,
     whenEmpty: () =>
-      transactions.size === 0 ? settledFuture(undefined) : emptied.future,
+      transactions.size === 0 ? settledFuture(undefined) : emptySignal.future,
     endAll,
   };
 }
--- a/packages/request-ledger/src/transaction_types.ts
+++ b/packages/request-ledger/src/transaction_types.ts
@@ -1,4 +1,4 @@
-/** The transactions that a proxy holds: what the table offers. */
+/** Types of the table of open transactions. */
 import type {
   Execution,
   Failure,
@@ -12,12 +12,12 @@
 
 import type {RequestContext} from './request_context';
 
-/** What a table is made of. */
+/** Options of a transaction table. */
 export interface TransactionTableOptions {
   readonly runtime: Runtime;
-  /** A transaction without a statement for this long is rolled back. */
+  /** Time without a statement after which a transaction is rolled back. */
   readonly idleTime: Milliseconds;
-  /** A transaction older than this is rolled back. */
+  /** Age at which a transaction is rolled back. */
   readonly totalTime: Milliseconds;
 }
 
@@ -25,24 +25,24 @@
 export interface TransactionStatement {
   readonly statement: Statement;
   readonly mode: StatementMode;
-  /** What the session has seen: the answer must not be older. */
+  /** Log position that the session has seen. The answer must not be older. */
   readonly seen: LogPosition;
 }
 
 /** The answer to a statement of a transaction. */
 export interface TransactionAnswer {
   readonly execution: Execution;
-  /** Member id of the primary that holds the transaction. */
+  /** Member id of the primary in which the transaction is open. */
   readonly target: string;
-  /** Monotonic time at which the target was the primary for certain. */
+  /** Monotonic time at which the target was verified to be the primary. */
   readonly freshAt: Milliseconds;
 }
 
-/** The transactions that this proxy holds. */
+/** The open transactions of this proxy. */
 export interface TransactionTable {
   /**
-   * Begins a transaction that sees all that was confirmed before, and gives
-   * the position of that.
+   * Begins a transaction that sees every record confirmed before this call and
+   * the position `seen`. Returns the minimum log position that it sees.
    */
   begin(
     context: RequestContext,
@@ -60,14 +60,17 @@
     id: string,
     key: IdempotencyKey,
   ): Task<Result<Execution, Failure>>;
-  /** Gives the position that the transaction's begin had to see. */
+  /** Returns the position that `begin` returned for the transaction. */
   rollBack(
     context: RequestContext,
     id: string,
   ): Task<Result<LogPosition, Failure>>;
   size(): number;
-  /** Settles once no transaction is open. */
+  /** Settles when no transaction is open. */
   whenEmpty(): Future<undefined>;
-  /** Rolls back all that no statement is running in, and the others next. */
+  /**
+   * Rolls back every transaction: at once if it is idle, otherwise when its
+   * running statement ends.
+   */
   endAll(): void;
 }
--- a/packages/request-ledger/src/write.ts
+++ b/packages/request-ledger/src/write.ts
@@ -1,4 +1,4 @@
-/** Writes that run at most once. */
+/** At-most-once writes. */
 import {
   Execution,
   Failure,
@@ -11,7 +11,7 @@
 import {Err, Ok, Result} from 'ts-results';
 
 import {awaitConfirmation, verifyPrimary} from './confirm';
-import {keyExpired} from './idempotency_key';
+import {createKeyExpiredFailure} from './idempotency_key';
 import {
   PrimaryAttempt,
   PrimaryCalls,
@@ -20,23 +20,23 @@
 import type {RequestContext} from './request_context';
 import {settleKey} from './settle_key';
 
-/** A write. */
+/** A write with its idempotency key. */
 export interface WriteRequest {
   readonly statement: Statement;
   readonly key: IdempotencyKey;
 }
 
-/** The failure of a write of which nobody knows whether it ran. */
-export function outcomeUnknown(key: IdempotencyKey): Failure {
+/** Creates the failure of a write that may or may not have run. */
+export function createOutcomeUnknownFailure(key: IdempotencyKey): Failure {
   const details = [`key.id: ${key.id}`, `key.issuedAt: ${key.issuedAt}`];
   return createFailure('OUTCOME_UNKNOWN', {details});
 }
 
 /**
- * Runs a write and waits until it is confirmed. The same key goes with every
- * attempt, so that a lost answer is asked for again from whoever is primary.
- * "Not run" is told only if no attempt can have run, or if the key is known,
- * by a confirmed record, never to run.
+ * Runs a write and waits until it is confirmed. Every attempt has the same key,
+ * so a lost answer can be requested again from the current primary. The failure
+ * states `not_run` only if no attempt can have run, or if a confirmed record
+ * shows that the key can never run.
  */
 export function* runWrite(
   context: RequestContext,
@@ -52,16 +52,18 @@
   for (;;) {
     const outcome = yield* calls.call(send);
     if (outcome.kind === 'gave-up') {
-      return Err(calls.mayHaveRun() ? outcomeUnknown(key) : outcome.failure);
+      return Err(
+        calls.mayHaveRun() ? createOutcomeUnknownFailure(key) : outcome.failure,
+      );
     }
     if (outcome.kind === 'refused') {
       const {failure, leadership} = outcome;
-      const isCertain = yield* verifyPrimary(context, leadership.term);
-      const final = isCertain
-        ? yield* concludeRefusal(context, calls, key, failure)
-        : concludeUnverified(context, calls, key, failure);
-      if (final !== undefined) {
-        return final;
+      const isVerified = yield* verifyPrimary(context, leadership.term);
+      const result = isVerified
+        ? yield* resolveRefusal(context, calls, key, failure)
+        : resolveUnverifiedRefusal(context, calls, key, failure);
+      if (result !== undefined) {
+        return result;
       }
       continue;
     }
@@ -69,44 +71,47 @@
     if (reply.err) {
       continue;
     }
-    const fate = yield* awaitConfirmation(context, reply.val.at);
-    if (fate === 'confirmed') {
+    const confirmation = yield* awaitConfirmation(context, reply.val.at);
+    if (confirmation === 'confirmed') {
       return Ok(reply.val);
     }
-    if (fate === 'undecided') {
-      return Err(outcomeUnknown(key));
+    if (confirmation === 'undecided') {
+      return Err(createOutcomeUnknownFailure(key));
     }
-    // Superseded: the record is gone for good, so it is run again.
+    // A superseded record is permanently discarded, so the write is run again.
   }
 }
 
-/** Ends a write that the confirmed primary refused. */
-function* concludeRefusal(
+/** Determines the result of a write that the verified primary refused. */
+function* resolveRefusal(
   context: RequestContext,
   calls: PrimaryCalls,
   key: IdempotencyKey,
   failure: Failure,
 ): Task<Result<Execution, Failure>> {
   if (failure.name === 'KEY_EXPIRED') {
-    return Err(keyExpired());
+    return Err(createKeyExpiredFailure());
   }
-  const isAboutKey =
+  const isKeyFailure =
     failure.name === 'KEY_CANCELLED' || failure.name === 'KEY_MISMATCH';
-  if (isAboutKey || !calls.mayHaveRun()) {
+  if (isKeyFailure || !calls.mayHaveRun()) {
     return Err(failure);
   }
-  // An earlier attempt may be on its way yet, and may find other data.
-  const settled = yield* settleKey(context, key);
-  if (settled.err) {
-    return Err(outcomeUnknown(key));
+  // An earlier attempt may still be in transit and may find other data.
+  const settlement = yield* settleKey(context, key);
+  if (settlement.err) {
+    return Err(createOutcomeUnknownFailure(key));
   }
-  return settled.val.state === 'recorded'
-    ? Ok(settled.val.execution)
+  return settlement.val.state === 'recorded'
+    ? Ok(settlement.val.execution)
     : Err(failure);
 }
 
-/** A refusal by a primary that was replaced; `undefined`: ask again. */
-function concludeUnverified(
+/**
+ * Determines the result of a write whose refusal by the primary could not be
+ * verified; `undefined` if the write is to be retried.
+ */
+function resolveUnverifiedRefusal(
   context: RequestContext,
   calls: PrimaryCalls,
   key: IdempotencyKey,
@@ -115,9 +120,9 @@
   if (context.runtime.timer.now() < context.deadline) {
     return undefined;
   }
-  const isAboutKey =
+  const isKeyFailure =
     failure.name.startsWith('KEY_') && failure.name !== 'KEY_FROM_FUTURE';
-  return isAboutKey || calls.mayHaveRun()
-    ? Err(outcomeUnknown(key))
+  return isKeyFailure || calls.mayHaveRun()
+    ? Err(createOutcomeUnknownFailure(key))
     : Err(createFailure('TIMED_OUT'));
 }
