--- a/packages/pool/__tests__/fake_target.ts
+++ b/packages/pool/__tests__/fake_target.ts
@@ -1,4 +1,7 @@
-/** A target with slots, a connection limit and service times, and its pool. */
+/**
+ * A fake target with slots, a connection limit and service times, and a pool of
+ * connections to it.
+ */
 import {Member} from '@kelpstep/manifest';
 import {createFailure, targetExecute, targetStatus} from '@kelpstep/protocol';
 import {
@@ -39,7 +42,7 @@
   connectionShare: equalShare,
 };
 
-/** What a statement of the tests came to. */
+/** Outcome of a statement. */
 export interface Outcome {
   readonly name: string;
   readonly at: number;
@@ -50,11 +53,11 @@
 export interface FakeTargetOptions extends Partial<TargetPoolOptions> {
   readonly slots?: number;
   readonly connectionLimit?: number;
-  /** Other proxies' connections, which count against the limit. */
+  /** Connections of other proxies, which count towards the limit. */
   readonly otherConnections?: number;
 }
 
-/** Statement texts are service times in milliseconds: `5`. */
+/** The text of a statement is its service time in milliseconds, such as `5`. */
 export function createFakeTarget(options: FakeTargetOptions = {}) {
   const timer = createVirtualTimer();
   const random = createRandom(7);
@@ -70,9 +73,9 @@
   };
   const serverTimer = network.timerFor(TARGET);
   const counts = {connections: 0, running: 0, peak: 0, executed: 0};
-  let others = options.otherConnections ?? 0;
+  let otherConnectionCount = options.otherConnections ?? 0;
 
-  function refused(name: 'SLOTS_EXHAUSTED' | 'CONNECTIONS_EXHAUSTED') {
+  function createRefusal(name: 'SLOTS_EXHAUSTED' | 'CONNECTIONS_EXHAUSTED') {
     return settledFuture<Result<never, ReturnType<typeof createFailure>>>(
       Err(createFailure(name)),
     );
@@ -80,10 +83,11 @@
 
   function accept(connection: Connection): void {
     counts.connections += 1;
-    const isOver = counts.connections + others > member.connectionLimit;
+    const isOver =
+      counts.connections + otherConnectionCount > member.connectionLimit;
     const handlers = createHandlerTable()
       .handle(targetStatus, () =>
-        isOver ? refused('CONNECTIONS_EXHAUSTED') : status(),
+        isOver ? createRefusal('CONNECTIONS_EXHAUSTED') : status(),
       )
       .handle(targetExecute, ({statement}) => execute(Number(statement.text)));
     const peer = createRpcPeer({connection, timer: serverTimer, handlers});
@@ -109,7 +113,7 @@
 
   function execute(duration: number) {
     if (counts.running >= slots) {
-      return refused('SLOTS_EXHAUSTED');
+      return createRefusal('SLOTS_EXHAUSTED');
     }
     counts.running += 1;
     counts.peak = Math.max(counts.peak, counts.running);
@@ -158,7 +162,10 @@
     };
   }
 
-  function note(name: string, failure: RequestFailure | undefined): void {
+  function recordOutcome(
+    name: string,
+    failure: RequestFailure | undefined,
+  ): void {
     outcomes.push({
       name: failure === undefined ? name : failure.failure.name,
       at: timer.now(),
@@ -167,11 +174,13 @@
     });
   }
 
-  /** Sends a statement; its end is noted in `outcomes`. */
+  /** Sends a statement. Its outcome is added to `outcomes`. */
   function send(duration: number, deadline = 1000, worth = 1, name = 'ok') {
     pool
       .run(requestOf(duration, deadline, worth))
-      .onSettled(({reply}) => note(name, reply.err ? reply.val : undefined));
+      .onSettled(({reply}) =>
+        recordOutcome(name, reply.err ? reply.val : undefined),
+      );
   }
 
   function outcomeNames(): string[] {
@@ -188,7 +197,7 @@
     send,
     requestOf,
     setOtherConnections(count: number) {
-      others = count;
+      otherConnectionCount = count;
     },
   };
 }
--- a/packages/pool/__tests__/retry.spec.ts
+++ b/packages/pool/__tests__/retry.spec.ts
@@ -9,7 +9,7 @@
 } from '..';
 
 describe('a retry budget', () => {
-  test('allows a share of the first attempts and a few per second', () => {
+  test('allows a share of the first attempts and a minimum per second', () => {
     const timer = createVirtualTimer();
     const settings = {ratio: 0.5, minimumPerSecond: 2, capacity: 3};
     const budget = createRetryBudget(timer, settings);
@@ -23,8 +23,8 @@
   });
 });
 
-describe('waiting before a retry', () => {
-  test('grows, within bounds, and differs from one to the next', () => {
+describe('the delay before a retry', () => {
+  test('grows exponentially and stays within its bounds', () => {
     const random = createRandom(1);
     const backoff = createExponentialBackoff({first: 10, longest: 100});
     for (let attempt = 1; attempt < 30; attempt++) {
@@ -34,7 +34,7 @@
     }
   });
 
-  test('spreads the return of refused requests over the time they need', () => {
+  test('is spread over the time that serving the refused requests takes', () => {
     const random = createRandom(1);
     const load = {drainTime: 200, refusedTime: 1000};
     const times = Array.from({length: 100}, () =>
--- a/packages/pool/__tests__/target_pool.spec.ts
+++ b/packages/pool/__tests__/target_pool.spec.ts
@@ -13,7 +13,7 @@
 import {PROXY, TARGET, TEST_POLICIES, createFakeTarget} from './fake_target';
 
 describe('connections to a target', () => {
-  test('open ahead of need and then serve without a wait', () => {
+  test('are opened in advance and then serve without delay', () => {
     const {pool, timer, send, outcomes} = createFakeTarget();
     pool.keepWarm(3);
     timer.advance(10);
@@ -32,7 +32,7 @@
     expect(outcomeNames()).toEqual(['ok', 'ok', 'ok']);
   });
 
-  test('are closed, not used again, after a time-out', () => {
+  test('are closed and not reused after a time-out', () => {
     const {pool, network, timer, send, outcomeNames, counts} =
       createFakeTarget();
     pool.keepWarm(1);
@@ -47,7 +47,7 @@
     expect(outcomeNames()).toEqual(['OUTCOME_UNKNOWN', 'ok']);
   });
 
-  test('that went silent are found before requests pay for them', () => {
+  test('that are unresponsive are detected before requests use them', () => {
     const {pool, network, timer, send, outcomeNames} = createFakeTarget();
     pool.keepWarm(3);
     timer.advance(5);
@@ -60,7 +60,7 @@
     expect(outcomeNames()).toEqual(['OUTCOME_UNKNOWN', 'ok', 'ok']);
   });
 
-  test('refused at the limit correct the share, and are tried again', () => {
+  test('refused at the limit lower the share and are retried', () => {
     const {pool, timer, send, outcomeNames, setOtherConnections} =
       createFakeTarget({connectionLimit: 8, otherConnections: 7});
     [5, 5, 5].forEach(duration => send(duration));
@@ -72,7 +72,7 @@
     expect(pool.load().connectionShare).toEqual(2);
   });
 
-  test('refused from the first on are tried until the deadline', () => {
+  test('refused from the start are retried until the deadline', () => {
     const {timer, send, outcomeNames, setOtherConnections} = createFakeTarget({
       connectionLimit: 8,
       otherConnections: 8,
@@ -84,7 +84,7 @@
     expect(outcomeNames()).toEqual(['ok']);
   });
 
-  test('to a dead target fail what waits at once, unsent', () => {
+  test('to an unreachable target fail queued requests at once and unsent', () => {
     const {network, timer, send, outcomes} = createFakeTarget();
     network.killHost(TARGET);
     send(1);
@@ -96,7 +96,7 @@
     ]);
   });
 
-  test('on loan are closed once idle', () => {
+  test('beyond the equal share are closed once idle', () => {
     const {pool, timer, send, counts} = createFakeTarget({
       slots: 8,
       policies: {...TEST_POLICIES, connectionShare: borrowingShare},
@@ -117,8 +117,8 @@
       for (const liveProxies of [1, 3, 7, 8]) {
         const input = {connectionLimit, liveProxies};
         const total = equalShare(input) * liveProxies + controlReserve(input);
-        const isLeast = equalShare(input) === 1;
-        expect(isLeast || total <= connectionLimit).toEqual(true);
+        const isMinimum = equalShare(input) === 1;
+        expect(isMinimum || total <= connectionLimit).toEqual(true);
       }
     }
     expect(equalShare({connectionLimit: 20, liveProxies: 8})).toEqual(1);
@@ -127,7 +127,7 @@
 });
 
 describe('a lease', () => {
-  function takeLease() {
+  function acquireLease() {
     const target = createFakeTarget();
     const leases: Lease[] = [];
     target.pool
@@ -137,8 +137,8 @@
     return {...target, lease: leases[0] as Lease};
   }
 
-  test('keeps its connection to itself', () => {
-    const {lease, timer, send, counts, pool} = takeLease();
+  test('has exclusive use of its connection', () => {
+    const {lease, timer, send, counts, pool} = acquireLease();
     send(1);
     timer.advance(10);
     expect(counts.connections).toEqual(2);
@@ -148,7 +148,7 @@
   });
 
   test('closes its connection if a request on it got no answer', () => {
-    const {lease, timer, network, requestOf, counts} = takeLease();
+    const {lease, timer, network, requestOf, counts} = acquireLease();
     const {method, parameters} = requestOf(1, 10, 1);
     network.loseAnswers(() => true);
     lease.request(method, parameters, 10);
@@ -160,7 +160,7 @@
 });
 
 describe('admission', () => {
-  test('adapts to the slots that a target has free', () => {
+  test('adapts to the free slots of the target', () => {
     const {pool, timer, send, counts, outcomeNames} = createFakeTarget({
       slots: 2,
       connectionLimit: 60,
@@ -174,7 +174,7 @@
     expect(pool.load().concurrencyLimit < 4).toEqual(true);
   });
 
-  test('refuses what cannot meet its deadline at once and unsent', () => {
+  test('refuses requests that cannot meet their deadline at once and unsent', () => {
     const {timer, send, outcomes, counts} = createFakeTarget({slots: 1});
     send(10);
     timer.advance(20);
@@ -194,23 +194,23 @@
     expect(served.length >= 5).toEqual(true);
   });
 
-  test('gives up at once what more valuable requests push back', () => {
+  test('refuses at once a request that more valuable ones delay too long', () => {
     const {timer, send, outcomes} = createFakeTarget({slots: 1});
     send(10);
     timer.advance(20);
     send(10, 1000);
     send(10, 40, 1, 'cheap');
     for (let index = 0; index < 4; index++) {
-      send(10, 1000, 50, 'dear');
+      send(10, 1000, 50, 'valuable');
     }
     expect(outcomes.slice(1).map(({name, at}) => [name, at])).toEqual([
       ['OVERLOADED', 20],
     ]);
     timer.advance(200);
-    expect(outcomes.filter(({name}) => name === 'dear').length).toEqual(4);
+    expect(outcomes.filter(({name}) => name === 'valuable').length).toEqual(4);
   });
 
-  test('serves the highest worth per slot time first', () => {
+  test('serves the highest value per slot time first', () => {
     const {timer, send, outcomeNames} = createFakeTarget({slots: 1});
     [2, 20].forEach(duration => {
       send(duration);
@@ -232,7 +232,7 @@
     expect(outcomeNames().length).toEqual(15);
   });
 
-  test('can be replaced by naive policies', () => {
+  test('works with naive policies', () => {
     const {timer, send, outcomeNames} = createFakeTarget({
       slots: 1,
       policies: {
--- a/packages/pool/index.ts
+++ b/packages/pool/index.ts
@@ -1,4 +1,4 @@
-/** Connections to targets, admission and retries. */
+/** Connections to targets, admission control and retries. */
 export * from './src/admission';
 export * from './src/admission_queue';
 export * from './src/concurrency_limit';
--- a/packages/pool/src/admission.ts
+++ b/packages/pool/src/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission of requests at one target: how many run at a time, which of the
- * waiting goes next, and which are refused.
+ * Admission control for one target: how many requests run concurrently, which
+ * queued request starts next, and which are refused.
  */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
@@ -8,85 +8,85 @@
 import {createAdmissionQueue} from './admission_queue';
 import type {CreateConcurrencyLimit, LimitSample} from './concurrency_limit';
 import {createDrainRate} from './drain_rate';
-import type {QueuePolicy, QueuedWork} from './queue_policy';
+import type {QueuePolicy, QueuedRequest} from './queue_policy';
 import {createExponentialBackoff} from './retry';
 import {RetryAfterPolicy, createRefusalMeter} from './retry_after';
 import {createServiceTimes} from './service_times';
 
-/** Policies of admission. */
+/** Policies of admission control. */
 export interface AdmissionPolicies {
   readonly queue: QueuePolicy;
   readonly createConcurrencyLimit: CreateConcurrencyLimit;
   readonly retryAfter: RetryAfterPolicy;
 }
 
-/** A request that is to be admitted. */
-export interface AdmissionEntry extends QueuedWork {
-  /** Names requests that take about the same time. */
+/** A request for admission. */
+export interface AdmissionEntry extends QueuedRequest {
+  /** Groups requests of similar service time. */
   readonly kind: string;
   /** Called once if the request is refused. */
   refuse(failure: Failure): void;
 }
 
-/** What admission is made of. */
+/** Options of admission control. */
 export interface AdmissionOptions {
   readonly runtime: Runtime;
   readonly slots: number;
   readonly policies: AdmissionPolicies;
-  /** Requests that wait at most. */
+  /** Maximum number of queued requests. */
   readonly queueCapacity: number;
-  /** Connections that may be open at most. */
+  /** Maximum number of open connections. */
   connectionShare(): number;
-  /** A request that waits may start now. */
+  /** Called when a queued request may start. */
   onReady(): void;
 }
 
-/** How a request that ran came to its end. */
+/** How a started request ended. */
 export type RunOutcome = LimitSample['outcome'];
 
-/** A request that runs. */
+/** An admitted request. */
 export interface AdmittedRun {
   /**
-   * Tells that it is sent only now: the time to open a connection is no service
-   * time, and would have what waits refused for a while after a start.
+   * Marks the request as sent now, if it was not sent when it was started. The
+   * time to open a connection is not service time: if it counted as such,
+   * queued requests would be refused for a while after startup.
    */
   sent(): void;
-  /** Tells of its end; `failed` answers don't count as service times. */
+  /** Marks the end. The latency of a `failed` request is no service time. */
   end(outcome: RunOutcome, failed: boolean): void;
 }
 
-/** Admission at one target. */
+/** Admission control for one target. */
 export interface Admission<E extends AdmissionEntry> {
-  /** Expected time in a slot of this kind. */
+  /** Expected slot time of requests of this kind. */
   expected(kind: string): Milliseconds;
   /** True if another request may start. */
   mayStart(): boolean;
-  /** Lets a request wait; it may be refused at once. */
+  /** Queues a request, which may be refused at once. */
   add(entry: E): void;
-  /** The next request that can still meet its deadline. */
+  /** Removes and returns the next request that can still meet its deadline. */
   next(): E | undefined;
   takeAll(): E[];
-  /** Tells that a request was sent. */
+  /** Marks a request as started and sent. */
   start(entry: E): AdmittedRun;
-  /** Lets a request that found no slot wait again, and pauses. */
+  /** Requeues a request that found no free slot, and pauses for a backoff. */
   waitForSlot(entry: E): void;
-  /** A transaction holds a slot from now on. */
+  /** Reserves a slot for a transaction. */
   addLease(): void;
   removeLease(): void;
-  /** Connections that what runs and waits could use. */
+  /** Number of connections that running and queued requests can use. */
   usefulConnections(): number;
   /** Predicted time until a new request of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
   inFlight(): number;
   queued(): number;
   limit(): number;
-  /** Requests refused so far. */
+  /** Number of requests refused so far. */
   shed(): number;
 }
 
 const slotBackoff = createExponentialBackoff({first: 2, longest: 50});
 
-/** Creates admission with nothing running. */
 export function createAdmission<E extends AdmissionEntry>(
   options: AdmissionOptions,
 ): Admission<E> {
@@ -100,36 +100,39 @@
     timer,
     policy: policies.queue,
     capacity: options.queueCapacity,
-    // What runs is half done on average.
-    workInFlight: () => workInFlight / 2,
+    // On average, half of the running requests' slot time has elapsed.
+    slotTimeInFlight: () => slotTimeInFlight / 2,
     parallelism,
     onRefused: refuse,
   });
   let running = 0;
   let leases = 0;
-  let workInFlight: Milliseconds = 0;
+  let slotTimeInFlight: Milliseconds = 0;
   let shed = 0;
   let slotRefusals = 0;
   let pausedUntil = -Infinity;
 
-  /** Requests that may run besides the leases, of which at least one. */
-  function room(): number {
+  /** Requests that may run concurrently besides the leases; at least 1. */
+  function availableConcurrency(): number {
     return Math.max(1, Math.floor(limit.current()) - leases);
   }
 
-  /** Statements that run at a time, as measured, or as allowed. */
+  /** Statements that run concurrently: the lower of allowed and measured. */
   function parallelism(): number {
-    const allowed = Math.min(room(), options.connectionShare() - leases);
+    const allowed = Math.min(
+      availableConcurrency(),
+      options.connectionShare() - leases,
+    );
     const measured = drainRate.current(timer.now()) ?? Infinity;
     return Math.min(Math.max(1, allowed), measured);
   }
 
   function drainTime(): Milliseconds {
-    return (workInFlight / 2 + queue.backlog()) / parallelism();
+    return (slotTimeInFlight / 2 + queue.backlog()) / parallelism();
   }
 
   function mayStart(): boolean {
-    if (running >= room()) {
+    if (running >= availableConcurrency()) {
       return false;
     }
     return pausedUntil === -Infinity || timer.now() >= pausedUntil;
@@ -163,14 +166,14 @@
   function start(entry: E): AdmittedRun {
     let sentAt = timer.now();
     running += 1;
-    workInFlight += entry.expected;
+    slotTimeInFlight += entry.expected;
     const inFlight = running + leases;
 
     function end(outcome: RunOutcome, failed: boolean): void {
       const now = timer.now();
       const latency = now - sentAt;
       running -= 1;
-      workInFlight = running === 0 ? 0 : workInFlight - entry.expected;
+      slotTimeInFlight = running === 0 ? 0 : slotTimeInFlight - entry.expected;
       if (!failed) {
         slotRefusals = 0;
         drainRate.observe(entry.expected, now, queue.size() > 0);
@@ -210,7 +213,8 @@
     removeLease() {
       leases -= 1;
     },
-    usefulConnections: () => leases + Math.min(room(), running + queue.size()),
+    usefulConnections: () =>
+      leases + Math.min(availableConcurrency(), running + queue.size()),
     expectedTime(kind) {
       const wait = queue.size() === 0 && mayStart() ? 0 : drainTime();
       return wait + serviceTimes.expected(kind);
--- a/packages/pool/src/admission_queue.ts
+++ b/packages/pool/src/admission_queue.ts
@@ -1,76 +1,79 @@
 /**
- * The requests that wait for one target. Bounded, ordered by a policy, with
- * one timer for all. Whatever can't meet its deadline leaves at once: when it
- * arrives, when more valuable requests push it back, or when time runs out.
+ * Bounded queue of the requests for one target, ordered by a policy, with one
+ * timer for all requests. A request that can't meet its deadline is refused at
+ * once: when it arrives, when requests of higher priority are queued ahead of
+ * it, or when its latest start has passed.
  */
 import type {Milliseconds, TimerService, Unsubscribe} from '@kelpstep/runtime';
 
-import type {QueuePolicy, QueuedWork} from './queue_policy';
+import type {QueuePolicy, QueuedRequest} from './queue_policy';
 
-/** What a queue is made of. */
-export interface AdmissionQueueOptions<W extends QueuedWork> {
+/** Options of an admission queue. */
+export interface AdmissionQueueOptions<R extends QueuedRequest> {
   readonly timer: TimerService;
   readonly policy: QueuePolicy;
-  /** Requests that wait at most; beyond it the last in order is refused. */
+  /** Maximum number of requests. Beyond it the last in order is refused. */
   readonly capacity: number;
-  /** Slot time of what runs now. */
-  workInFlight(): Milliseconds;
-  /** Statements that run at a time. */
+  /** Remaining slot time of the running requests. */
+  slotTimeInFlight(): Milliseconds;
+  /** Statements that run concurrently. */
   parallelism(): number;
-  /** Called for each request that leaves without its turn. */
-  onRefused(work: W): void;
+  /** Called for each request that is refused. */
+  onRefused(request: R): void;
 }
 
-/** The requests that wait for one target. */
-export interface AdmissionQueue<W extends QueuedWork> {
-  /** Adds a request, or refuses it or others by `onRefused`. */
-  add(work: W): void;
-  /** Takes the first in order. */
-  take(): W | undefined;
-  /** Empties the queue. */
-  takeAll(): W[];
+/** Queue of the requests for one target. */
+export interface AdmissionQueue<R extends QueuedRequest> {
+  /** Adds a request. It or others may be refused through `onRefused`. */
+  add(request: R): void;
+  /** Removes and returns the first request in order. */
+  take(): R | undefined;
+  /** Removes and returns all requests. */
+  takeAll(): R[];
   size(): number;
-  /** Slot time of all that waits. */
+  /** Expected slot time of all queued requests. */
   backlog(): Milliseconds;
 }
 
-/** Creates an empty queue. */
-export function createAdmissionQueue<W extends QueuedWork>(
-  options: AdmissionQueueOptions<W>,
-): AdmissionQueue<W> {
+export function createAdmissionQueue<R extends QueuedRequest>(
+  options: AdmissionQueueOptions<R>,
+): AdmissionQueue<R> {
   const {timer, policy, capacity, onRefused} = options;
-  let waiting: W[] = [];
+  let waiting: R[] = [];
   let backlog: Milliseconds = 0;
-  let armedFor = Infinity;
+  let timerDueAt = Infinity;
   let cancelTimer: Unsubscribe = () => {};
 
-  function insert(work: W): number {
+  function insert(request: R): number {
     let low = 0;
     let high = waiting.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (policy.compare(waiting[middle] as W, work) <= 0) {
+      if (policy.compare(waiting[middle] as R, request) <= 0) {
         low = middle + 1;
       } else {
         high = middle;
       }
     }
-    waiting.splice(low, 0, work);
-    backlog += work.expected;
+    waiting.splice(low, 0, request);
+    backlog += request.expected;
     return low;
   }
 
-  /** Keeps what passes; tells of the rest after the queue is consistent. */
-  function keepOnly(keep: (work: W, index: number) => boolean): void {
-    const refused: W[] = [];
-    const kept: W[] = [];
+  /**
+   * Keeps the requests for which `keep` is true. The others are reported once
+   * the queue is consistent.
+   */
+  function retain(keep: (request: R, index: number) => boolean): void {
+    const refused: R[] = [];
+    const kept: R[] = [];
     let keptBacklog = 0;
-    waiting.forEach((work, index) => {
-      if (keep(work, index)) {
-        kept.push(work);
-        keptBacklog += work.expected;
+    waiting.forEach((request, index) => {
+      if (keep(request, index)) {
+        kept.push(request);
+        keptBacklog += request.expected;
       } else {
-        refused.push(work);
+        refused.push(request);
       }
     });
     waiting = kept;
@@ -78,76 +81,79 @@
     refused.forEach(onRefused);
   }
 
-  /** The first request from `index` on that is foreseen to start too late. */
-  function findLate(index: number): number {
+  /**
+   * Returns the index of the first request from `index` on that is predicted to
+   * start too late; -1 if there is none.
+   */
+  function findLateRequest(index: number): number {
     const now = timer.now();
     const parallelism = options.parallelism();
-    let workAhead = options.workInFlight();
+    let slotTimeAhead = options.slotTimeInFlight();
     for (let position = 0; position < waiting.length; position++) {
-      const work = waiting[position] as W;
-      const load = {now, workAhead, parallelism};
+      const request = waiting[position] as R;
+      const load = {now, slotTimeAhead, parallelism};
       if (
         position >= index &&
-        policy.predictStart(load) > policy.latestStart(work)
+        policy.predictStart(load) > policy.latestStart(request)
       ) {
         return position;
       }
-      workAhead += work.expected;
+      slotTimeAhead += request.expected;
     }
     return -1;
   }
 
-  /** Refuses what starts too late, from the request at `index` on. */
-  function refuseLate(index: number): void {
-    const refused: W[] = [];
-    let late = findLate(index);
-    while (late >= 0) {
-      const [work] = waiting.splice(late, 1) as [W];
-      backlog -= work.expected;
-      refused.push(work);
-      late = findLate(late);
+  /** Refuses each request from `index` on that is predicted to start too late. */
+  function refuseLateRequests(index: number): void {
+    const refused: R[] = [];
+    let lateIndex = findLateRequest(index);
+    while (lateIndex >= 0) {
+      const [request] = waiting.splice(lateIndex, 1) as [R];
+      backlog -= request.expected;
+      refused.push(request);
+      lateIndex = findLateRequest(lateIndex);
     }
     refused.forEach(onRefused);
   }
 
   function onTimer(): void {
-    armedFor = Infinity;
+    timerDueAt = Infinity;
     const now = timer.now();
-    keepOnly(work => policy.latestStart(work) > now);
+    retain(request => policy.latestStart(request) > now);
     const earliest = waiting.reduce(
-      (least, work) => Math.min(least, policy.latestStart(work)),
+      (minimum, request) => Math.min(minimum, policy.latestStart(request)),
       Infinity,
     );
-    arm(earliest);
+    armTimer(earliest);
   }
 
-  function arm(time: Milliseconds): void {
-    if (time >= armedFor) {
+  function armTimer(time: Milliseconds): void {
+    if (time >= timerDueAt) {
       return;
     }
     cancelTimer();
-    armedFor = time;
+    timerDueAt = time;
     cancelTimer = timer.after(time - timer.now(), onTimer);
   }
 
-  function add(work: W): void {
-    const index = insert(work);
-    arm(policy.latestStart(work));
-    refuseLate(index);
+  function add(request: R): void {
+    const index = insert(request);
+    armTimer(policy.latestStart(request));
+    refuseLateRequests(index);
     if (waiting.length > capacity) {
-      keepOnly((unusedWork, position) => position < capacity);
+      retain((unusedRequest, position) => position < capacity);
     }
   }
 
-  function take(): W | undefined {
-    const work = waiting.shift();
-    if (work !== undefined) {
-      backlog = waiting.length === 0 ? 0 : backlog - work.expected;
+  function take(): R | undefined {
+    const request = waiting.shift();
+    if (request !== undefined) {
+      backlog = waiting.length === 0 ? 0 : backlog - request.expected;
     }
-    return work;
+    return request;
   }
 
-  function takeAll(): W[] {
+  function takeAll(): R[] {
     const all = waiting;
     waiting = [];
     backlog = 0;
--- a/packages/pool/src/concurrency_limit.ts
+++ b/packages/pool/src/concurrency_limit.ts
@@ -1,48 +1,48 @@
 /**
- * How many statements this proxy lets run at a target at a time. A target's
- * slots are shared by all proxies, which don't tell each other what they use:
- * each goes by what the target shows.
+ * Limits the statements that this proxy runs at a target concurrently. All
+ * proxies share the target's slots and don't exchange their usage, so each
+ * adapts its limit to the latencies and refusals that it observes.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** What one statement showed. */
+/** Observation of one statement. */
 export interface LimitSample {
-  /** `exhausted`: refused for want of a slot. `lost`: no answer came. */
+  /** `exhausted`: refused because no slot was free. `lost`: no answer. */
   readonly outcome: 'answered' | 'exhausted' | 'lost';
   readonly latency: Milliseconds;
-  /** Latency of this kind at an idle target. */
+  /** Estimated latency of this kind at an idle target. */
   readonly shortestLatency: Milliseconds;
-  /** Statements that ran when this one was sent, itself included. */
+  /** Statements running when this one was sent, including itself. */
   readonly inFlight: number;
   /** Monotonic time of the answer. */
   readonly now: Milliseconds;
 }
 
-/** A limit that may adapt. */
+/** A concurrency limit, fixed or adaptive. */
 export interface ConcurrencyLimit {
-  /** At least 1; the whole part counts. */
+  /** At least 1. Only the integer part counts. */
   current(): number;
   observe(sample: LimitSample): void;
 }
 
-/** Creates the limit of a target with so many slots. */
+/** Creates the limit for a target with the given number of slots. */
 export type CreateConcurrencyLimit = (slots: number) => ConcurrencyLimit;
 
 /** Settings of the adaptive limit. */
 export interface AdaptiveLimitSettings {
-  /** Largest limit, in multiples of the target's slots. */
+  /** Maximum limit, in multiples of the target's slots. */
   readonly maximumPerSlot: number;
-  /** Factor after a refusal. */
+  /** Factor applied to the limit after a refusal. */
   readonly decreaseOnRefusal: number;
-  /** Factor after a latency beyond the tolerance. */
+  /** Factor applied to the limit after a latency beyond the tolerance. */
   readonly decreaseOnLatency: number;
-  /** Latency that is tolerated, in multiples of an idle target's. */
+  /** Tolerated latency, in multiples of the latency at an idle target. */
   readonly latencyTolerance: number;
-  /** Slack for short latencies, whose ratio is mostly noise. */
+  /** Tolerated excess of short latencies, whose ratio is mostly noise. */
   readonly latencySlack: Milliseconds;
 }
 
-/** Settings unless others are passed. */
+/** Default settings. */
 export const DEFAULT_ADAPTIVE_LIMIT: AdaptiveLimitSettings = {
   maximumPerSlot: 1,
   decreaseOnRefusal: 0.7,
@@ -52,9 +52,9 @@
 };
 
 /**
- * Additive increase while the limit is used up and latency is near an idle
- * target's; multiplicative decrease, at most once per latency, on a refusal
- * or a long latency.
+ * Additive increase while the limit is fully used and the latency is near that
+ * of an idle target. Multiplicative decrease on a refusal or a long latency, at
+ * most once within the latency of the statement that caused the last decrease.
  */
 export function createAdaptiveLimit(
   slots: number,
@@ -95,7 +95,7 @@
   return {current: () => limit, observe};
 }
 
-/** A limit that stays; for comparison. */
+/** A constant limit; for comparison. */
 export function createFixedLimit(limit: number): ConcurrencyLimit {
   return {current: () => limit, observe: () => {}};
 }
--- a/packages/pool/src/connection_share.ts
+++ b/packages/pool/src/connection_share.ts
@@ -1,23 +1,23 @@
-/** How many connections to a target this proxy may open. */
+/** Limits the connections to a target that this proxy may open. */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** What a share is computed from. */
+/** Input for computing a share. */
 export interface ShareInput {
-  /** Connections that the target accepts from all proxies together. */
+  /** Number of connections that the target accepts from all proxies in total. */
   readonly connectionLimit: number;
-  /** Live proxies, this one included. */
+  /** Number of live proxies, including this one. */
   readonly liveProxies: number;
 }
 
-/** Computes a share; at least 1. */
+/** Computes the number of connections that a proxy may open; at least 1. */
 export type ShareRule = (input: ShareInput) => number;
 
-/** Connections for watchers' probes and the target's own group. */
+/** Connections for the failure detectors' probes and the target's own group. */
 const PROBE_RESERVE = 2;
 
 /**
- * Connections that stay free for control: a position stream per proxy, and
- * probes; never more than half.
+ * Connections reserved for control: a log position stream per proxy, and
+ * probes; at most half of the connection limit.
  */
 export function controlReserve({
   connectionLimit,
@@ -27,38 +27,38 @@
   return Math.min(wanted, Math.floor(connectionLimit / 2));
 }
 
-/** What is left after the reserve, in equal parts. */
+/** Equal parts of the connections that are not reserved. */
 export const equalShare: ShareRule = input => {
   const usable = input.connectionLimit - controlReserve(input);
   return Math.max(1, Math.floor(usable / Math.max(1, input.liveProxies)));
 };
 
 /**
- * Up to twice the equal share, on loan from proxies that don't use theirs.
- * What is borrowed is given back as soon as it is idle, and a refusal by the
- * target ends the loan.
+ * Up to twice the equal share, using connections that other proxies leave
+ * unused. Connections beyond the equal share are closed soon after they become
+ * idle, and a refusal by the target lowers the share to the open connections.
  */
 export const borrowingShare: ShareRule = input => {
   const usable = Math.max(1, input.connectionLimit - controlReserve(input));
   return Math.min(usable, 2 * equalShare(input));
 };
 
-/** A share that a target's refusals correct. */
+/** A share that is lowered when the target refuses connections. */
 export interface ConnectionShare {
-  /** Connections that may be open now. */
+  /** Number of connections that may be open now. */
   current(): number;
-  /** The equal part: what is idle beyond it is closed soon. */
+  /** Equal share. Idle connections beyond it are closed early. */
   equal(): number;
-  /** The target refused a connection while so many were open here. */
+  /** Records that the target refused a connection while so many were open. */
   refused(openConnections: number): void;
-  /** The limit or the number of proxies changed. */
+  /** Updates the connection limit and the number of proxies. */
   update(input: ShareInput): void;
 }
 
-/** How long a corrected share stays before it is raised by one. */
-export const SHARE_RECOVERY: Milliseconds = 2_000;
+/** Interval after which a lowered share is raised by 1. */
+export const SHARE_RECOVERY_INTERVAL_MS: Milliseconds = 2_000;
 
-/** Creates a share without correction. */
+/** Creates a share that no refusal has lowered. */
 export function createConnectionShare(
   timer: TimerService,
   rule: ShareRule,
@@ -75,7 +75,7 @@
     const now = timer.now();
     while (now >= raiseAt) {
       cap += 1;
-      raiseAt += SHARE_RECOVERY;
+      raiseAt += SHARE_RECOVERY_INTERVAL_MS;
     }
     if (cap >= rule(input)) {
       cap = Infinity;
@@ -91,7 +91,7 @@
     equal: () => equalShare(input),
     refused(openConnections) {
       cap = Math.max(1, openConnections);
-      raiseAt = timer.now() + SHARE_RECOVERY;
+      raiseAt = timer.now() + SHARE_RECOVERY_INTERVAL_MS;
     },
     update(newInput) {
       input = newInput;
--- a/packages/pool/src/connection_times.ts
+++ b/packages/pool/src/connection_times.ts
@@ -1,21 +1,21 @@
-/** Times of the connections to targets. */
+/** Time-outs and intervals of the connections to targets. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Times of connections, in milliseconds. */
+/** Time-outs and intervals of connections, in milliseconds. */
 export interface ConnectionTimes {
-  /** Time for a new connection, and again for its first answer. */
+  /** Time-out for opening a connection, and again for its first answer. */
   readonly connectTimeout: Milliseconds;
-  /** Time for the answer of a connection that may have gone silent. */
+  /** Time-out for probing a connection that may be unresponsive. */
   readonly probeTimeout: Milliseconds;
-  /** An idle connection beyond the equal share is closed after this. */
+  /** Idle time after which a connection beyond the equal share is closed. */
   readonly borrowedIdleTime: Milliseconds;
-  /** An idle connection beyond the minimum is closed after this. */
+  /** Idle time after which a connection beyond the minimum is closed. */
   readonly idleTime: Milliseconds;
-  /** A connection idle for this long is tried out again. */
+  /** Time without data received after which an idle connection is probed. */
   readonly probePeriod: Milliseconds;
 }
 
-/** Times unless others are passed. */
+/** Default times. */
 export const DEFAULT_CONNECTION_TIMES: ConnectionTimes = {
   connectTimeout: 250,
   probeTimeout: 250,
--- a/packages/pool/src/connections.ts
+++ b/packages/pool/src/connections.ts
@@ -1,8 +1,8 @@
 /**
- * The connections of this proxy to one target. Each carries one statement or
- * one transaction at a time. A new one is tried out with `target.status`, which
- * takes no slot: it finds a target at its connection limit, and another target
- * at the address, before a request pays for it.
+ * Connections of this proxy to one target. Each carries one statement or one
+ * transaction at a time. A new connection is checked with `target.status`,
+ * which takes no slot. This detects a target at its connection limit, or a
+ * different target at the address, before a request uses the connection.
  */
 import {targetStatus} from '@kelpstep/protocol';
 import {RequestFailure, RpcPeer, Transport, createRpcPeer} from '@kelpstep/rpc';
@@ -19,43 +19,46 @@
 import type {ConnectionTimes} from './connection_times';
 import {createExponentialBackoff} from './retry';
 
-/** What a set of connections is made of. */
+/** Options of a set of connections. */
 export interface ConnectionsOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
-  /** Member id that the other end must answer with. */
+  /** Member id that the target must report. */
   readonly target: string;
   readonly address: string;
   readonly share: ConnectionShare;
   readonly times: ConnectionTimes;
-  /** A connection is idle now, or opening one may be tried again. */
+  /** Called when a connection is idle or the backoff after a failure is over. */
   onReady(): void;
-  /** No connection is open, and one could not be opened. */
+  /** Called when no connection is open and none could be opened. */
   onUnavailable(): void;
 }
 
-/** The connections of this proxy to one target. */
+/** Connections of this proxy to one target. */
 export interface Connections {
-  /** Takes the connection that was used last. */
+  /** Takes the idle connection that was used last. */
   take(): RpcPeer | undefined;
-  /** Gives a connection back whose state is certain. */
-  giveBack(peer: RpcPeer): void;
-  /** Closes a connection whose state is in doubt. */
+  /** Makes a connection available again. Its state must be known. */
+  addIdle(peer: RpcPeer): void;
+  /** Closes a connection, for example because its state is unknown. */
   discard(peer: RpcPeer, reason: string): void;
-  /** Tries out the idle connections, after another one went silent. */
+  /** Probes the idle connections after another one became unresponsive. */
   probeIdle(): void;
-  /** Opens connections until so many are open, within the share. */
-  want(count: number): void;
-  /** Sets how many stay open while idle. */
+  /** Opens connections until `count` are open, within the share. */
+  ensureOpen(count: number): void;
+  /** Sets the number of connections that stay open while idle. */
   keep(minimum: number): void;
-  /** Trims, probes and refills; call it a few times a second. */
+  /**
+   * Closes surplus idle connections, probes the others and opens missing ones.
+   * To be called a few times per second.
+   */
   tick(): void;
-  /** True right after a failed try to open the first connection. */
+  /** True during the backoff after opening the first connection failed. */
   isUnavailable(): boolean;
   openCount(): number;
-  /** Shortest time of a first answer; undefined before any. */
+  /** Shortest round trip of a check; `undefined` before the first. */
   roundTrip(): Milliseconds | undefined;
-  /** Closes idle connections now and others when given back. */
+  /** Closes idle connections now and the others when they become idle. */
   close(): void;
 }
 
@@ -68,13 +71,13 @@
 
 const reopenBackoff = createExponentialBackoff({first: 10, longest: 500});
 
-function reasonOf(failure: RequestFailure): OpenFailure {
+function openFailureOf(failure: RequestFailure): OpenFailure {
   return failure.failure.name === 'CONNECTIONS_EXHAUSTED'
     ? 'at-limit'
     : 'unreachable';
 }
 
-/** Creates an empty set; it opens nothing before `want` or `keep`. */
+/** Creates an empty set. It opens nothing before `ensureOpen` or `keep`. */
 export function createConnections(options: ConnectionsOptions): Connections {
   const {runtime, transport, share, times} = options;
   const {timer, random} = runtime;
@@ -89,17 +92,17 @@
   let shortestRoundTrip: Milliseconds | undefined;
   let isClosed = false;
 
-  function forget(peer: RpcPeer): void {
+  function remove(peer: RpcPeer): void {
     open.delete(peer);
     idle = idle.filter(entry => entry.peer !== peer);
   }
 
   function discard(peer: RpcPeer, reason: string): void {
-    forget(peer);
+    remove(peer);
     peer.close(reason);
   }
 
-  function giveBack(peer: RpcPeer): void {
+  function addIdle(peer: RpcPeer): void {
     if (!open.has(peer)) {
       return;
     }
@@ -111,20 +114,20 @@
     options.onReady();
   }
 
-  function* tryOut(
+  function* checkTarget(
     peer: RpcPeer,
     timeout: Milliseconds,
   ): Task<Result<undefined, OpenFailure>> {
-    const askedAt = timer.now();
+    const requestedAt = timer.now();
     const reply = yield* waitFor(peer.request(targetStatus, {}, timeout));
     if (reply.err) {
-      return Err(reasonOf(reply.val));
+      return Err(openFailureOf(reply.val));
     }
     if (reply.val.target !== options.target) {
       return Err('unreachable');
     }
-    const taken = timer.now() - askedAt;
-    shortestRoundTrip = Math.min(shortestRoundTrip ?? Infinity, taken);
+    const roundTrip = timer.now() - requestedAt;
+    shortestRoundTrip = Math.min(shortestRoundTrip ?? Infinity, roundTrip);
     return Ok(undefined);
   }
 
@@ -136,10 +139,10 @@
       return Err('unreachable');
     }
     const peer = createRpcPeer({connection: dialled.val, timer});
-    const tried = yield* tryOut(peer, times.connectTimeout);
-    if (tried.err) {
+    const checked = yield* checkTarget(peer, times.connectTimeout);
+    if (checked.err) {
       peer.close('not usable');
-      return tried;
+      return checked;
     }
     return Ok(peer);
   }
@@ -155,8 +158,8 @@
     failures = 0;
     isUnreachable = false;
     open.add(peer);
-    peer.closed.onSettled(() => forget(peer));
-    giveBack(peer);
+    peer.closed.onSettled(() => remove(peer));
+    addIdle(peer);
   }
 
   function onOpenFailure(failure: OpenFailure): void {
@@ -179,12 +182,12 @@
     });
   }
 
-  function want(count: number): void {
+  function ensureOpen(count: number): void {
     if (isClosed || timer.now() < retryAt) {
       return;
     }
     const wanted = Math.min(count, share.current());
-    // After a failure one try at a time tells whether it still fails.
+    // After a failure, connections are opened one at a time until one succeeds.
     const missing = wanted - open.size - opening;
     const starts = failures > 0 ? Math.min(missing, 1 - opening) : missing;
     for (let started = 0; started < starts; started++) {
@@ -194,15 +197,15 @@
   }
 
   function* probe(peer: RpcPeer): Task<void> {
-    const tried = yield* tryOut(peer, times.probeTimeout);
-    if (tried.ok) {
-      giveBack(peer);
+    const checked = yield* checkTarget(peer, times.probeTimeout);
+    if (checked.ok) {
+      addIdle(peer);
     } else {
       discard(peer, 'silent');
     }
   }
 
-  function probeAll(isDue: (entry: IdleConnection) => boolean): void {
+  function probeDue(isDue: (entry: IdleConnection) => boolean): void {
     const due = idle.filter(isDue);
     idle = idle.filter(entry => !isDue(entry));
     for (const {peer} of due) {
@@ -210,7 +213,7 @@
     }
   }
 
-  /** Suspects don't count as open, so that new ones may take their place. */
+  /** Suspects don't count as open, so that new connections can replace them. */
   function probeIdle(): void {
     const suspects = idle.map(({peer}) => peer);
     idle = [];
@@ -221,25 +224,25 @@
   }
 
   function* probeSuspect(peer: RpcPeer): Task<void> {
-    const tried = yield* tryOut(peer, times.probeTimeout);
-    if (tried.ok && open.size + opening < share.current()) {
+    const checked = yield* checkTarget(peer, times.probeTimeout);
+    if (checked.ok && open.size + opening < share.current()) {
       open.add(peer);
-      giveBack(peer);
+      addIdle(peer);
     } else {
       peer.close('silent or replaced');
     }
   }
 
-  function trim(): void {
+  function closeSurplusIdle(): void {
     const now = timer.now();
     const equal = Math.max(minimum, share.equal());
     for (const {peer, since} of [...idle]) {
       const excess = open.size - minimum;
       const borrowed = open.size - equal;
-      const idleFor = now - since;
+      const idleDuration = now - since;
       if (
-        (borrowed > 0 && idleFor >= times.borrowedIdleTime) ||
-        (excess > 0 && idleFor >= times.idleTime)
+        (borrowed > 0 && idleDuration >= times.borrowedIdleTime) ||
+        (excess > 0 && idleDuration >= times.idleTime)
       ) {
         discard(peer, 'idle');
       }
@@ -247,21 +250,21 @@
   }
 
   function tick(): void {
-    trim();
+    closeSurplusIdle();
     const now = timer.now();
-    probeAll(entry => now - entry.peer.lastHeardAt() >= times.probePeriod);
-    want(minimum);
+    probeDue(entry => now - entry.peer.lastHeardAt() >= times.probePeriod);
+    ensureOpen(minimum);
   }
 
   return {
     take: () => idle.pop()?.peer,
-    giveBack,
+    addIdle,
     discard,
     probeIdle,
-    want,
+    ensureOpen,
     keep(newMinimum) {
       minimum = newMinimum;
-      want(minimum);
+      ensureOpen(minimum);
     },
     tick,
     isUnavailable: () =>
--- a/packages/pool/src/drain_rate.ts
+++ b/packages/pool/src/drain_rate.ts
@@ -1,53 +1,61 @@
 /**
- * How much slot time a target really gives this proxy per millisecond while
- * requests wait. The concurrency limit overestimates it when other proxies
- * take the slots and requests are refused for want of one.
+ * Measures the slot time that a target provides to this proxy per millisecond
+ * while requests are queued. The concurrency limit overestimates it when other
+ * proxies use the slots and requests are refused because none is free.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Measures the rate at which waiting work is done. */
+/** Measures the rate at which queued requests are served. */
 export interface DrainRate {
-  /** Work ended; `isSaturated` if other requests wait at that time. */
-  observe(work: Milliseconds, now: Milliseconds, isSaturated: boolean): void;
-  /** Statements that run at a time on average; undefined if not known. */
+  /**
+   * Adds the expected slot time of a request that ended. `isSaturated` states
+   * whether other requests were queued at that time.
+   */
+  observe(
+    slotTime: Milliseconds,
+    now: Milliseconds,
+    isSaturated: boolean,
+  ): void;
+  /** Average number of concurrent statements; `undefined` if not known. */
   current(now: Milliseconds): number | undefined;
 }
 
-const DECAY = 0.95;
+const DECAY_RATIO = 0.95;
 const MINIMUM_SAMPLES = 5;
-/** A rate measured longer ago says nothing about now. */
-const VALIDITY: Milliseconds = 1_000;
+/** Age after which a measurement is discarded as outdated. */
+const VALIDITY_MS: Milliseconds = 1_000;
 
-/** Creates a measure without samples. */
 export function createDrainRate(): DrainRate {
   let saturatedSince: Milliseconds | undefined;
-  let work = 0;
-  let time = 0;
+  let totalSlotTime = 0;
+  let totalTime = 0;
   let samples = 0;
   let measuredAt = -Infinity;
 
-  function forgetIfOld(now: Milliseconds): void {
-    if (now - measuredAt > VALIDITY) {
-      work = 0;
-      time = 0;
+  function resetIfStale(now: Milliseconds): void {
+    if (now - measuredAt > VALIDITY_MS) {
+      totalSlotTime = 0;
+      totalTime = 0;
       samples = 0;
     }
   }
 
   return {
-    observe(ended, now, isSaturated) {
+    observe(slotTime, now, isSaturated) {
       if (saturatedSince !== undefined) {
-        forgetIfOld(now);
-        work = work * DECAY + ended;
-        time = time * DECAY + (now - saturatedSince);
+        resetIfStale(now);
+        totalSlotTime = totalSlotTime * DECAY_RATIO + slotTime;
+        totalTime = totalTime * DECAY_RATIO + (now - saturatedSince);
         samples += 1;
         measuredAt = now;
       }
       saturatedSince = isSaturated ? now : undefined;
     },
     current(now) {
-      forgetIfOld(now);
-      return samples < MINIMUM_SAMPLES || time === 0 ? undefined : work / time;
+      resetIfStale(now);
+      return samples < MINIMUM_SAMPLES || totalTime === 0
+        ? undefined
+        : totalSlotTime / totalTime;
     },
   };
 }
--- a/packages/pool/src/lease.ts
+++ b/packages/pool/src/lease.ts
@@ -1,10 +1,10 @@
-/** A connection held for a transaction. */
+/** Exclusive use of a connection for a transaction. */
 import type {Method} from '@kelpstep/protocol';
 import type {RequestFailure, RpcPeer} from '@kelpstep/rpc';
 import type {Future, Milliseconds} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** A connection that its holder alone uses until it releases it. */
+/** Exclusive use of a connection until it is released or abandoned. */
 export interface Lease {
   request<P, R>(
     method: Method<P, R>,
@@ -12,36 +12,36 @@
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
   /**
-   * Gives the connection back. It is closed instead if a request on it got no
-   * answer or none that could be read.
+   * Returns the connection to the pool. It is closed instead if a request on it
+   * got no answer or an unreadable one.
    */
   release(): void;
   /** Closes the connection, which rolls its transaction back. */
   abandon(reason: string): void;
-  /** Settles when the connection ends. */
+  /** Settles with the reason when the connection is closed. */
   readonly closed: Future<string>;
 }
 
-/** What a lease does at its end. */
-export interface LeaseEnd {
+/** Receives the end of a lease. */
+export interface LeaseListener {
   onRelease(): void;
   onAbandon(reason: string): void;
 }
 
 /** True if the connection's state is unknown after this failure. */
-export function leavesDoubt(failure: RequestFailure): boolean {
+export function leavesStateUnknown(failure: RequestFailure): boolean {
   return failure.kind !== 'refused';
 }
 
-/** Creates a lease; exactly one function of `end` is called, once. */
-export function createLease(peer: RpcPeer, end: LeaseEnd): Lease {
-  let isOver = false;
-  let isDoubtful = false;
+/** Creates a lease. At its end one of the listener's functions is called once. */
+export function createLease(peer: RpcPeer, listener: LeaseListener): Lease {
+  let isEnded = false;
+  let isStateUnknown = false;
 
   function abandon(reason: string): void {
-    if (!isOver) {
-      isOver = true;
-      end.onAbandon(reason);
+    if (!isEnded) {
+      isEnded = true;
+      listener.onAbandon(reason);
     }
   }
 
@@ -49,16 +49,16 @@
     request(method, parameters, timeout) {
       const reply = peer.request(method, parameters, timeout);
       reply.onSettled(result => {
-        isDoubtful ||= result.err && leavesDoubt(result.val);
+        isStateUnknown ||= result.err && leavesStateUnknown(result.val);
       });
       return reply;
     },
     release() {
-      if (isDoubtful || peer.pendingRequests() > 0) {
+      if (isStateUnknown || peer.pendingRequests() > 0) {
         abandon('state in doubt');
-      } else if (!isOver) {
-        isOver = true;
-        end.onRelease();
+      } else if (!isEnded) {
+        isEnded = true;
+        listener.onRelease();
       }
     },
     abandon,
--- a/packages/pool/src/pool_types.ts
+++ b/packages/pool/src/pool_types.ts
@@ -1,4 +1,4 @@
-/** What a pool of connections to a target is made of, and what it offers. */
+/** Types of the pool of connections to a target. */
 import type {Member} from '@kelpstep/manifest';
 import type {Method} from '@kelpstep/protocol';
 import type {RequestFailure, Transport} from '@kelpstep/rpc';
@@ -15,7 +15,7 @@
   readonly connectionShare: ShareRule;
 }
 
-/** What a pool is made of. */
+/** Options of a pool. */
 export interface TargetPoolOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -23,33 +23,33 @@
   readonly liveProxies: number;
   readonly policies: PoolPolicies;
   readonly times: ConnectionTimes;
-  /** Requests that wait at most. */
+  /** Maximum number of queued requests. */
   readonly queueCapacity: number;
 }
 
-/** How a request is to be treated. */
-export interface Work {
-  /** Names requests that take about the same time. */
+/** Attributes of a request that determine its admission. */
+export interface RequestAttributes {
+  /** Groups requests of similar service time. */
   readonly kind: string;
   readonly worth: number;
-  /** Monotonic time by which the target's answer must be there. */
+  /** Monotonic time by which the target must have answered. */
   readonly deadline: Milliseconds;
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 export interface Attempt<R> {
-  /** A failure with `sent` false: refused here, nothing was run. */
+  /** A failure with `sent` false means refused by the pool; nothing was run. */
   readonly reply: Result<R, RequestFailure>;
   readonly queueTime: Milliseconds;
 }
 
-/** What became of a request whose connection stays with its sender. */
+/** Outcome of a request whose sender keeps the connection. */
 export interface LeaseAttempt<R> extends Attempt<R> {
-  /** There if the reply is a result. */
+  /** Defined if the reply is a result. */
   readonly lease: Lease | undefined;
 }
 
-/** Load of a target as this proxy sees it. */
+/** Load of a target as observed by this proxy. */
 export interface PoolLoad {
   readonly inFlight: number;
   readonly queued: number;
@@ -61,30 +61,36 @@
 
 /** A request to a target. */
 export interface TargetRequest<P, R> {
-  readonly work: Work;
+  readonly work: RequestAttributes;
   readonly method: Method<P, R>;
   readonly parameters: P;
-  /** Time for the answer once the request was sent. */
+  /** Time-out for the answer, from sending the request. */
   readonly timeout: Milliseconds;
 }
 
-/** Statements at one target. */
+/** Admission and connections of the statements for one target. */
 export interface TargetPool {
   /** Runs one request. */
   run<P, R>(request: TargetRequest<P, R>): Future<Attempt<R>>;
-  /** The same, and keeps the connection and its place among the running. */
+  /** Runs one request and, if it succeeds, leases its connection and slot. */
   lease<P, R>(request: TargetRequest<P, R>): Future<LeaseAttempt<R>>;
   /** Predicted time until a request of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
-  /** Shortest round trip seen; undefined before any connection. */
+  /** Shortest round trip observed; `undefined` before any connection. */
   roundTrip(): Milliseconds | undefined;
-  /** Keeps so many connections open, within the share. */
+  /** Sets the number of connections kept open while idle, within the share. */
   keepWarm(connections: number): void;
-  /** The connection limit or the number of live proxies changed. */
+  /** Updates the connection limit and the number of live proxies. */
   updateShare(connectionLimit: number, liveProxies: number): void;
-  /** Trims, probes and refills; call it a few times a second. */
+  /**
+   * Closes surplus idle connections, probes the others and opens missing ones.
+   * To be called a few times per second.
+   */
   tick(): void;
   load(): PoolLoad;
-  /** Refuses what waits, lets the rest end, then closes the connections. */
+  /**
+   * Fails the queued requests and closes the idle connections. Running requests
+   * finish, and their connections are closed afterwards.
+   */
   close(): void;
 }
--- a/packages/pool/src/queue_policy.ts
+++ b/packages/pool/src/queue_policy.ts
@@ -1,53 +1,56 @@
-/** In which order requests wait for a target, and when to give them up. */
+/** Order of the requests queued for a target, and when they are refused. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** A request that waits, as policies see it. */
-export interface QueuedWork {
-  /** Relative worth of an answer in time. */
+/** The properties of a queued request that policies use. */
+export interface QueuedRequest {
+  /** Relative value of an answer before the deadline. */
   readonly worth: number;
-  /** Expected time in a slot. */
+  /** Expected slot time. */
   readonly expected: Milliseconds;
-  /** Monotonic time by which the answer must be there. */
+  /** Monotonic time by which the request must be answered. */
   readonly deadline: Milliseconds;
-  /** Rises with each arrival. */
+  /** Increases with each arrival. */
   readonly order: number;
 }
 
-/** What a policy may go by to predict when a request starts. */
+/** Load from which a policy predicts when a request starts. */
 export interface QueueLoad {
   readonly now: Milliseconds;
-  /** Slot time ahead of the request, of running and of waiting ones. */
-  readonly workAhead: Milliseconds;
-  /** Statements that run at a time. */
+  /** Slot time of the running requests and of the queued ones ahead. */
+  readonly slotTimeAhead: Milliseconds;
+  /** Statements that run concurrently. */
   readonly parallelism: number;
 }
 
-/** Order and refusal, each a function. */
+/** Determines the order of the queue and which requests are refused. */
 export interface QueuePolicy {
-  /** Negative if the left one goes first. */
-  compare(left: QueuedWork, right: QueuedWork): number;
-  /** A request that has not started by then is refused. */
-  latestStart(work: QueuedWork): Milliseconds;
-  /** A request predicted to start after its latest start is refused. */
+  /** Negative if `left` is served first. */
+  compare(left: QueuedRequest, right: QueuedRequest): number;
+  /** Monotonic time. A request that has not started by then is refused. */
+  latestStart(request: QueuedRequest): Milliseconds;
+  /**
+   * Monotonic time. A request predicted to start after its latest start is
+   * refused.
+   */
   predictStart(load: QueueLoad): Milliseconds;
 }
 
 /**
- * Highest worth per slot time first, among requests that can still meet their
- * deadline; the others are refused as soon as that is foreseen.
+ * Serves the highest value per slot time first. A request that is predicted to
+ * miss its deadline is refused at once.
  */
 export const WORTH_PER_SLOT_TIME: QueuePolicy = {
   compare: (left, right) =>
     right.worth / right.expected - left.worth / left.expected ||
     left.order - right.order,
-  latestStart: work => work.deadline - work.expected,
-  predictStart: ({now, workAhead, parallelism}) =>
-    now + workAhead / parallelism,
+  latestStart: request => request.deadline - request.expected,
+  predictStart: ({now, slotTimeAhead, parallelism}) =>
+    now + slotTimeAhead / parallelism,
 };
 
 /** First come, first served, until the deadline; for comparison. */
 export const FIRST_COME_FIRST_SERVED: QueuePolicy = {
   compare: (left, right) => left.order - right.order,
-  latestStart: work => work.deadline,
+  latestStart: request => request.deadline,
   predictStart: ({now}) => now,
 };
--- a/packages/pool/src/retry.ts
+++ b/packages/pool/src/retry.ts
@@ -1,25 +1,25 @@
-/** Retries: a budget that stops them from multiplying load, and backoff. */
+/** Backoff, and a retry budget that keeps retries from multiplying the load. */
 import type {Milliseconds, Random, TimerService} from '@kelpstep/runtime';
 
-/** A token bucket that first attempts fill and retries empty. */
+/** A token bucket: first attempts add tokens, retries consume them. */
 export interface RetryBudget {
-  /** Tells of a first attempt. */
+  /** Adds tokens for a first attempt. */
   deposit(): void;
-  /** Takes a retry out; false if the budget is spent. */
+  /** Consumes a token for a retry; false if there is none. */
   withdraw(): boolean;
 }
 
 /** Settings of a retry budget. */
 export interface RetryBudgetSettings {
-  /** Retries that each first attempt allows. */
+  /** Tokens added per first attempt. */
   readonly ratio: number;
-  /** Retries per second that are always allowed. */
+  /** Tokens added per second, regardless of first attempts. */
   readonly minimumPerSecond: number;
-  /** Retries that may be saved up. */
+  /** Maximum number of tokens. */
   readonly capacity: number;
 }
 
-/** Settings unless others are passed. */
+/** Default settings. */
 export const DEFAULT_RETRY_BUDGET: RetryBudgetSettings = {
   ratio: 0.2,
   minimumPerSecond: 10,
@@ -28,7 +28,7 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Creates a full budget. */
+/** Creates a budget that starts at its capacity. */
 export function createRetryBudget(
   timer: TimerService,
   settings: RetryBudgetSettings = DEFAULT_RETRY_BUDGET,
@@ -59,7 +59,7 @@
   };
 }
 
-/** Gives the wait before a retry; `attempt` counts from 1. */
+/** Returns the delay before a retry; `attempt` counts from 1. */
 export type BackoffPolicy = (attempt: number, random: Random) => Milliseconds;
 
 /** Bounds of an exponential backoff. */
@@ -68,7 +68,7 @@
   readonly longest: Milliseconds;
 }
 
-/** Doubles per attempt; half of each wait is chance. */
+/** The delay doubles with each attempt; half of each delay is random. */
 export function createExponentialBackoff(bounds: BackoffBounds): BackoffPolicy {
   return (attempt, random) => {
     const wait = Math.min(bounds.longest, bounds.first * 2 ** (attempt - 1));
--- a/packages/pool/src/retry_after.ts
+++ b/packages/pool/src/retry_after.ts
@@ -1,58 +1,56 @@
-/** When a refused caller is to come back. */
+/** Computes the retry delay of refused callers. */
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 
-/** What the time to come back may go by. */
+/** Load from which a retry delay is computed. */
 export interface RefusalLoad {
-  /** Time in which what waits and runs now is served. */
+  /** Time until the running and queued requests are served. */
   readonly drainTime: Milliseconds;
-  /** Time in which what was refused lately could be served. */
+  /** Time in which the recently refused requests could be served. */
   readonly refusedTime: Milliseconds;
 }
 
-/** Gives the time to come back after a refusal. */
+/** Returns the retry delay after a refusal. */
 export type RetryAfterPolicy = (
   load: RefusalLoad,
   random: Random,
 ) => Milliseconds;
 
-/** Shortest time to come back. */
-export const MINIMUM_RETRY_AFTER: Milliseconds = 50;
-/** Longest time to come back. */
-export const MAXIMUM_RETRY_AFTER: Milliseconds = 10_000;
+export const MINIMUM_RETRY_AFTER_MS: Milliseconds = 50;
+export const MAXIMUM_RETRY_AFTER_MS: Milliseconds = 10_000;
 
 /**
- * Not before what waits is served, and then spread evenly over the time that
- * serving the refused ones takes, so that they don't return as one wave.
+ * Delays retries until the queued requests are served, and then spreads them
+ * evenly over the time that serving the refused requests takes. Otherwise all
+ * refused callers would retry at once.
  */
 export const spreadRetryAfter: RetryAfterPolicy = (load, random) => {
-  const earliest = Math.max(MINIMUM_RETRY_AFTER, load.drainTime);
+  const earliest = Math.max(MINIMUM_RETRY_AFTER_MS, load.drainTime);
   const spread = Math.max(earliest, load.refusedTime);
-  const time = earliest + spread * random.fraction();
-  return Math.round(Math.min(MAXIMUM_RETRY_AFTER, time));
+  const retryAfter = earliest + spread * random.fraction();
+  return Math.round(Math.min(MAXIMUM_RETRY_AFTER_MS, retryAfter));
 };
 
-/** Counts refused work, halving it each half-life. */
+/** Sums the slot time of refused requests, with exponential decay. */
 export interface RefusalMeter {
-  add(work: Milliseconds, now: Milliseconds): void;
+  add(slotTime: Milliseconds, now: Milliseconds): void;
   recent(now: Milliseconds): Milliseconds;
 }
 
-const HALF_LIFE: Milliseconds = 500;
+const HALF_LIFE_MS: Milliseconds = 500;
 
-/** Creates a meter at zero. */
 export function createRefusalMeter(): RefusalMeter {
-  let amount = 0;
+  let refusedSlotTime = 0;
   let updatedAt = 0;
 
   function recent(now: Milliseconds): Milliseconds {
-    amount *= 0.5 ** ((now - updatedAt) / HALF_LIFE);
+    refusedSlotTime *= 0.5 ** ((now - updatedAt) / HALF_LIFE_MS);
     updatedAt = now;
-    return amount;
+    return refusedSlotTime;
   }
 
   return {
-    add(work, now) {
-      amount = recent(now) + work;
+    add(slotTime, now) {
+      refusedSlotTime = recent(now) + slotTime;
     },
     recent,
   };
--- a/packages/pool/src/service_times.ts
+++ b/packages/pool/src/service_times.ts
@@ -1,29 +1,33 @@
-/** How long statements of each kind take at a target, as observed. */
+/** Observed service times of each kind of statement at a target. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Estimates per request kind. */
+/** Service time estimates per request kind. */
 export interface ServiceTimes {
-  /** Takes in the time from sending a statement to its answer. */
+  /** Adds the time from sending a statement to its answer. */
   observe(kind: string, duration: Milliseconds): void;
-  /** Moving average of a kind; of all kinds if this one is new. */
+  /** Moving average of a kind, or of all kinds if this one is new. */
   expected(kind: string): Milliseconds;
-  /** About the shortest time seen lately: what an idle target takes. */
+  /**
+   * Approximately the shortest recent time, as an estimate for an idle target.
+   */
   shortest(kind: string): Milliseconds;
 }
 
-/** Guess before anything was observed. */
-export const INITIAL_SERVICE_TIME: Milliseconds = 1;
+/** Estimate before the first observation. */
+export const INITIAL_SERVICE_TIME_MS: Milliseconds = 1;
 
-const WEIGHT = 0.1;
-/** The shortest time rises by this share per sample, so that it can forget. */
-const FORGETTING = 0.002;
+const SAMPLE_WEIGHT = 0.1;
+/**
+ * Share of the distance to the average by which the shortest time is raised per
+ * sample, so that outdated minima expire.
+ */
+const SHORTEST_INCREASE_RATIO = 0.002;
 
 interface Estimate {
   average: Milliseconds;
   shortest: Milliseconds;
 }
 
-/** Creates estimates that know nothing yet. */
 export function createServiceTimes(): ServiceTimes {
   const estimates = new Map<string, Estimate>();
   let overall: Milliseconds | undefined;
@@ -32,24 +36,25 @@
     overall =
       overall === undefined
         ? duration
-        : overall + WEIGHT * (duration - overall);
+        : overall + SAMPLE_WEIGHT * (duration - overall);
     const estimate = estimates.get(kind);
     if (estimate === undefined) {
       estimates.set(kind, {average: duration, shortest: duration});
       return;
     }
-    estimate.average += WEIGHT * (duration - estimate.average);
-    const relaxed =
+    estimate.average += SAMPLE_WEIGHT * (duration - estimate.average);
+    const raised =
       estimate.shortest +
-      FORGETTING * Math.max(0, estimate.average - estimate.shortest);
-    estimate.shortest = Math.min(duration, relaxed);
+      SHORTEST_INCREASE_RATIO *
+        Math.max(0, estimate.average - estimate.shortest);
+    estimate.shortest = Math.min(duration, raised);
   }
 
   return {
     observe,
     expected: kind =>
-      estimates.get(kind)?.average ?? overall ?? INITIAL_SERVICE_TIME,
+      estimates.get(kind)?.average ?? overall ?? INITIAL_SERVICE_TIME_MS,
     shortest: kind =>
-      estimates.get(kind)?.shortest ?? overall ?? INITIAL_SERVICE_TIME,
+      estimates.get(kind)?.shortest ?? overall ?? INITIAL_SERVICE_TIME_MS,
   };
 }
--- a/packages/pool/src/target_pool.ts
+++ b/packages/pool/src/target_pool.ts
@@ -1,4 +1,4 @@
-/** Statements at one target: admission, and the connections that carry them. */
+/** Pool for one target: admission control and connections. */
 import {createFailure} from '@kelpstep/protocol';
 import type {RequestFailure, RpcPeer} from '@kelpstep/rpc';
 import {
@@ -12,7 +12,7 @@
 import {AdmissionEntry, RunOutcome, createAdmission} from './admission';
 import {createConnectionShare} from './connection_share';
 import {createConnections} from './connections';
-import {Lease, createLease, leavesDoubt} from './lease';
+import {Lease, createLease, leavesStateUnknown} from './lease';
 import type {
   LeaseAttempt,
   TargetPool,
@@ -25,8 +25,8 @@
   failUnreachable(): void;
 }
 
-/** About what opening a connection takes, for predictions. */
-const CONNECTION_SET_UP: Milliseconds = 20;
+/** Approximate time to open a connection, for predictions. */
+const CONNECTION_SETUP_MS: Milliseconds = 20;
 
 function outcomeOf(reply: Result<unknown, RequestFailure>): RunOutcome {
   if (reply.ok) {
@@ -35,10 +35,10 @@
   if (reply.val.failure.name === 'SLOTS_EXHAUSTED') {
     return 'exhausted';
   }
-  return leavesDoubt(reply.val) ? 'lost' : 'answered';
+  return leavesStateUnknown(reply.val) ? 'lost' : 'answered';
 }
 
-/** Creates a pool without connections. */
+/** Creates a pool without open connections. */
 export function createTargetPool(options: TargetPoolOptions): TargetPool {
   const {runtime, member, policies} = options;
   const {timer} = runtime;
@@ -53,8 +53,8 @@
     address: member.address,
     share,
     times: options.times,
-    onReady: pump,
-    onUnavailable: failWaiting,
+    onReady: dispatch,
+    onUnavailable: failQueued,
   });
   const admission = createAdmission<Entry>({
     runtime,
@@ -62,16 +62,16 @@
     policies,
     queueCapacity: options.queueCapacity,
     connectionShare: share.current,
-    onReady: pump,
+    onReady: dispatch,
   });
   let nextOrder = 0;
   let isClosed = false;
 
-  function failWaiting(): void {
+  function failQueued(): void {
     admission.takeAll().forEach(entry => entry.failUnreachable());
   }
 
-  function pump(): void {
+  function dispatch(): void {
     while (admission.queued() > 0 && admission.mayStart()) {
       const peer = connections.take();
       if (peer === undefined) {
@@ -80,14 +80,14 @@
       sendNext(peer);
     }
     if (admission.queued() > 0) {
-      connections.want(admission.usefulConnections());
+      connections.ensureOpen(admission.usefulConnections());
     }
   }
 
   function sendNext(peer: RpcPeer): void {
     const entry = admission.next();
     if (entry === undefined) {
-      connections.giveBack(peer);
+      connections.addIdle(peer);
     } else {
       entry.send(peer);
     }
@@ -102,17 +102,17 @@
     const peer = startsAtOnce ? connections.take() : undefined;
     if (peer === undefined) {
       admission.add(entry);
-      pump();
+      dispatch();
     } else {
       entry.send(peer);
     }
   }
 
-  /** Lets a request wait again for which the target had no room. */
+  /** Requeues a request that the target refused for lack of capacity. */
   function requeue(entry: Entry, peer: RpcPeer, outcome: RunOutcome): void {
     if (outcome === 'exhausted') {
       admission.waitForSlot(entry);
-      connections.giveBack(peer);
+      connections.addIdle(peer);
       return;
     }
     connections.discard(peer, 'refused at the connection limit');
@@ -124,35 +124,35 @@
     peer: RpcPeer,
     reply: Result<unknown, RequestFailure>,
   ): void {
-    if (reply.ok || !leavesDoubt(reply.val)) {
-      connections.giveBack(peer);
+    if (reply.ok || !leavesStateUnknown(reply.val)) {
+      connections.addIdle(peer);
       return;
     }
     connections.discard(peer, 'state in doubt');
     if (reply.val.kind === 'timeout') {
       connections.probeIdle();
     }
-    pump();
+    dispatch();
   }
 
-  function takeLease(peer: RpcPeer): Lease {
+  function leaseConnection(peer: RpcPeer): Lease {
     admission.addLease();
     return createLease(peer, {
       onRelease() {
         admission.removeLease();
-        connections.giveBack(peer);
+        connections.addIdle(peer);
       },
       onAbandon(reason) {
         admission.removeLease();
         connections.discard(peer, reason);
-        pump();
+        dispatch();
       },
     });
   }
 
   function createEntry<P, R>(
     {work, method, parameters, timeout}: TargetRequest<P, R>,
-    keeps: boolean,
+    keepsConnection: boolean,
     deferred: Deferred<LeaseAttempt<R>>,
   ): Entry {
     const arrivedAt = timer.now();
@@ -194,8 +194,8 @@
       const name = reply.err ? reply.val.failure.name : undefined;
       if (name === 'SLOTS_EXHAUSTED' || name === 'CONNECTIONS_EXHAUSTED') {
         requeue(entry, peer, outcomeOf(reply));
-      } else if (reply.ok && keeps) {
-        deferred.settle({reply, queueTime, lease: takeLease(peer)});
+      } else if (reply.ok && keepsConnection) {
+        deferred.settle({reply, queueTime, lease: leaseConnection(peer)});
       } else {
         returnConnection(peer, reply);
         deferred.settle({reply, queueTime, lease: undefined});
@@ -207,16 +207,16 @@
 
   function start<P, R>(
     request: TargetRequest<P, R>,
-    keeps: boolean,
+    keepsConnection: boolean,
   ): Future<LeaseAttempt<R>> {
     const deferred = createDeferred<LeaseAttempt<R>>();
-    submit(createEntry(request, keeps, deferred));
+    submit(createEntry(request, keepsConnection, deferred));
     return deferred.future;
   }
 
   function close(): void {
     isClosed = true;
-    failWaiting();
+    failQueued();
     connections.close();
   }
 
@@ -224,8 +224,8 @@
     run: request => start(request, false),
     lease: request => start(request, true),
     expectedTime(kind) {
-      const setUp = connections.openCount() === 0 ? CONNECTION_SET_UP : 0;
-      return setUp + admission.expectedTime(kind);
+      const setupTime = connections.openCount() === 0 ? CONNECTION_SETUP_MS : 0;
+      return setupTime + admission.expectedTime(kind);
     },
     roundTrip: connections.roundTrip,
     keepWarm: connections.keep,
--- a/packages/request-ledger/src/primary_calls.ts
+++ b/packages/request-ledger/src/primary_calls.ts
@@ -3,7 +3,7 @@
  * lost answers until there is a conclusive answer or the deadline has passed.
  */
 import type {Leadership} from '@kelpstep/failover';
-import type {Attempt, TargetPool, Work} from '@kelpstep/pool';
+import type {Attempt, RequestAttributes, TargetPool} from '@kelpstep/pool';
 import {ErrorName, Failure, createFailure} from '@kelpstep/protocol';
 import type {RequestFailure} from '@kelpstep/rpc';
 import {
@@ -22,7 +22,7 @@
 /** Parameters of an attempt. */
 export interface PrimaryAttempt {
   readonly pool: TargetPool;
-  readonly work: Work;
+  readonly work: RequestAttributes;
   readonly term: number;
   readonly timeout: Milliseconds;
 }
@@ -139,7 +139,7 @@
     yield* perform(race([...effects, delay(limited)]));
   }
 
-  function createWork(): Work {
+  function requestAttributes(): RequestAttributes {
     const {kind, worth, deadline} = context;
     return {kind, worth, deadline: deadline - group.confirmationTime()};
   }
@@ -160,7 +160,7 @@
     });
     attempts += 1;
     notes.retries = attempts - 1;
-    const future = send({pool, work: createWork(), term, timeout});
+    const future = send({pool, work: requestAttributes(), term, timeout});
     const winner = yield* perform(
       race<unknown>([settled(future), leadershipAbove(view, term)]),
     );
