--- a/packages/protocol/__tests__/interface_page.spec.ts
+++ b/packages/protocol/__tests__/interface_page.spec.ts
@@ -13,13 +13,13 @@
 }
 
 describe('docs/INTERFACE.md', () => {
-  test('has the error table as the code has it, in its order', () => {
+  test('lists the errors of the error table, in its order', () => {
     const rows = Object.entries(ERRORS).map(entry => errorRow(...entry));
     const written = PAGE.split('\n').filter(line => /^\| -?\d{4,} /.test(line));
     expect(written).toEqual(rows);
   });
 
-  test("has a section for each of the callers' methods", () => {
+  test('has a section for each caller method', () => {
     for (const name of Object.keys(CALLER_METHODS)) {
       expect(PAGE.includes(`\n### ${name}\n`)).toEqual(true);
     }
--- a/packages/protocol/index.ts
+++ b/packages/protocol/index.ts
@@ -1,4 +1,4 @@
-/** Messages, their schemas and the error table, shared by all packages. */
+/** Message schemas and the error table, shared by all packages. */
 export * from './src/caller_messages';
 export * from './src/errors';
 export * from './src/log_position';
--- a/packages/protocol/src/caller_messages.ts
+++ b/packages/protocol/src/caller_messages.ts
@@ -1,110 +1,113 @@
-/** Messages between a caller and a proxy: JSON-RPC 2.0 over HTTP/1.1. */
+/** Messages between callers and proxies: JSON-RPC 2.0 over HTTP/1.1. */
 import {z} from 'zod';
 
 import {defineMethod} from './method';
 import {idempotencyKeySchema, rowsSchema, statementSchema} from './statement';
 
-/** Longest session token that is read, in characters. */
+/** Longest session token that is accepted, in characters. */
 export const MAXIMUM_TOKEN_LENGTH = 4096;
 
-/** Longest key of an account that is read, in characters. */
+/** Longest account key that is accepted, in characters. */
 const MAXIMUM_ACCOUNT_KEY_LENGTH = 200;
 
 /** A session token; opaque to callers. */
 export const sessionTokenSchema = z.string().max(MAXIMUM_TOKEN_LENGTH);
 
-const identifier = z.string().min(1).max(200);
+const identifierSchema = z.string().min(1).max(200);
 
 const requestFields = {
-  /** Group of databases, as in the manifest. */
-  group: identifier,
-  /** Request kind, as in the manifest: gives worth and default deadline. */
-  kind: identifier.optional(),
+  /** Group of databases, by its name in the manifest. */
+  group: identifierSchema,
   /**
-   * Token of the last answer this session got; the empty text for a new
-   * session. Without it the request sees all that was confirmed before.
+   * Request kind, by its name in the manifest. It determines the relative value
+   * and the default deadline.
+   */
+  kind: identifierSchema.optional(),
+  /**
+   * Token of the session's latest answer; the empty string starts a session.
+   * Without a token the request sees everything confirmed before it.
    */
   token: sessionTokenSchema.optional(),
-  /** Wall clock in milliseconds since 1970 after which no answer is wanted. */
+  /** Wall clock, milliseconds since 1970, after which an answer is useless. */
   deadline: z.number().int().positive().optional(),
-  /** Key of the caller's account, where the manifest has accounts. */
+  /** Key of the client account; used if the manifest defines accounts. */
   accountKey: z.string().max(MAXIMUM_ACCOUNT_KEY_LENGTH).optional(),
 };
 
-/** Which target answered, and how old its data was at most. */
+/** The target that answered, and its role. */
 const servedBySchema = z.strictObject({
   target: z.string(),
   role: z.enum(['primary', 'replica']),
 });
 
-/** Reads. */
+/** Runs a read. */
 export const callerRead = defineMethod(
   'read',
   z.strictObject({
     ...requestFields,
     statement: statementSchema,
     /**
-     * Oldest data that the caller accepts when the answer leaves, in
-     * milliseconds; by default the group's `readStaleness`.
+     * Maximum age in milliseconds of the data when the answer is sent; by
+     * default the group's `readStaleness`.
      */
     maximumAge: z.number().int().nonnegative().optional(),
-    transaction: identifier.optional(),
+    transaction: identifierSchema.optional(),
   }),
   z.strictObject({
     rows: rowsSchema,
     token: sessionTokenSchema,
     servedBy: servedBySchema,
-    /** Upper bound of the data's age when the answer left, milliseconds. */
+    /** Upper bound of the data's age when the answer was sent, milliseconds. */
     age: z.number().nonnegative(),
   }),
 );
 
-/** Writes. The answer means that a majority of the group holds the record. */
+/** Runs a write; answered once a majority of the group holds the record. */
 export const callerWrite = defineMethod(
   'write',
   z.strictObject({
     ...requestFields,
     statement: statementSchema,
-    /** With a key the write runs at most once, however often it is sent. */
+    /** With a key, the write runs at most once, however often it is sent. */
     key: idempotencyKeySchema.optional(),
-    transaction: identifier.optional(),
+    transaction: identifierSchema.optional(),
   }),
   z.strictObject({
     rows: rowsSchema,
     token: sessionTokenSchema,
-    /** True if the key had been recorded before and nothing was run now. */
+    /** True if the key was already recorded and nothing was run. */
     duplicate: z.boolean(),
   }),
 );
 
-/** Begins a transaction; its id may be used through any proxy. */
+/** Begins a transaction. Its id is valid at every proxy. */
 export const callerBegin = defineMethod(
   'begin',
   z.strictObject(requestFields),
-  z.strictObject({transaction: identifier, token: sessionTokenSchema}),
+  z.strictObject({transaction: identifierSchema, token: sessionTokenSchema}),
 );
 
-/** Commits. With a key, a repeated commit gives the recorded answer. */
+/** Commits a transaction. With a key, a repetition gets the recorded answer. */
 export const callerCommit = defineMethod(
   'commit',
   z.strictObject({
     ...requestFields,
-    transaction: identifier,
+    transaction: identifierSchema,
     key: idempotencyKeySchema.optional(),
   }),
   z.strictObject({token: sessionTokenSchema, duplicate: z.boolean()}),
 );
 
-/** Rolls back. */
+/** Rolls a transaction back. */
 export const callerRollback = defineMethod(
   'rollback',
-  z.strictObject({...requestFields, transaction: identifier}),
+  z.strictObject({...requestFields, transaction: identifierSchema}),
   z.strictObject({token: sessionTokenSchema}),
 );
 
 /**
- * Settles the outcome of a keyed write or commit for good: confirmed, or not
- * run and never to be run.
+ * Determines the final outcome of a write or commit with a key. Once the answer
+ * is `not_run`, the key can no longer be run.
  */
 export const callerOutcome = defineMethod(
   'outcome',
@@ -116,7 +119,7 @@
   }),
 );
 
-/** The methods that callers' ports carry. */
+/** The methods served on the callers' port. */
 export const CALLER_METHODS = {
   read: callerRead,
   write: callerWrite,
--- a/packages/protocol/src/errors.ts
+++ b/packages/protocol/src/errors.ts
@@ -1,12 +1,13 @@
 /**
- * The error table. Every error that crosses a process boundary has a row here:
- * its JSON-RPC code, what it says about the request, and whether to retry.
+ * The error table. Every error that crosses a process boundary is defined here
+ * with its JSON-RPC code, the outcome of the request, and whether it may be
+ * retried.
  */
 import {z} from 'zod';
 
 /**
- * What is known of the request when the error is given: it was not run and
- * won't be, or it may have run (ask again with the same key).
+ * Outcome of a failed request. `not_run`: it was not run and will not be.
+ * `unknown`: it may have run; repeat it with the same key to find out.
  */
 export const outcomeSchema = z.enum(['not_run', 'unknown']);
 export type Outcome = z.infer<typeof outcomeSchema>;
@@ -16,7 +17,7 @@
   /** JSON-RPC error code. */
   readonly code: number;
   readonly outcome: Outcome;
-  /** True if the same request may succeed later. */
+  /** True if the same request may succeed on a later attempt. */
   readonly retryable: boolean;
   readonly meaning: string;
 }
@@ -30,7 +31,7 @@
   return {code, outcome, retryable, meaning};
 }
 
-/** All errors by name. Codes are part of the interface: never reuse one. */
+/** All errors by name. Codes are part of the interface and are never reused. */
 export const ERRORS = {
   PARSE_ERROR: define(-32700, 'not_run', false, 'The body is not JSON.'),
   INVALID_REQUEST: define(-32600, 'not_run', false, 'Not a JSON-RPC request.'),
@@ -95,15 +96,15 @@
   name: z.string(),
   outcome: outcomeSchema,
   retryable: z.boolean(),
-  /** How long to wait before asking again, milliseconds. */
+  /** Time to wait before the next attempt, milliseconds. */
   retryAfter: z.number().nonnegative().optional(),
-  /** Highest term known to whoever refused, with `TERM_TOO_LOW`. */
+  /** With `TERM_TOO_LOW`: the highest term known to the refusing side. */
   term: z.number().int().nonnegative().optional(),
   details: z.array(z.string()).optional(),
 });
 export type ErrorData = z.infer<typeof errorDataSchema>;
 
-/** An error as parts of a process pass it on; also the JSON-RPC error's form. */
+/** An error inside a process; it is sent to others as a JSON-RPC error. */
 export interface Failure {
   readonly name: ErrorName;
   readonly message: string;
@@ -113,10 +114,10 @@
   readonly details?: readonly string[];
 }
 
-/** What `createFailure` may be told besides the name. */
+/** Properties that replace the defaults of `createFailure`. */
 export type FailureOptions = Partial<Omit<Failure, 'name'>>;
 
-/** Creates a failure; outcome and message default to the table's. */
+/** Creates a failure; outcome and message default to its error definition. */
 export function createFailure(
   name: ErrorName,
   options: FailureOptions = {},
--- a/packages/protocol/src/log_position.ts
+++ b/packages/protocol/src/log_position.ts
@@ -1,37 +1,41 @@
 /**
- * Positions in a group's replicated log. A record is named by the term in
- * which it was written and its position; positions count records from 1 and
- * position 0 is the empty log.
+ * Positions in a group's replicated log. A record is identified by the term in
+ * which it was written and its position. Positions start at 1; position 0 is
+ * the end of the empty log.
  */
 import {z} from 'zod';
 
-const counter = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
+const counterSchema = z
+  .number()
+  .int()
+  .nonnegative()
+  .max(Number.MAX_SAFE_INTEGER);
 
-/** A term: higher ones win. 0 is the term of an empty log. */
-export const termSchema = counter;
+/** A term. Higher terms supersede lower ones; 0 is the term of an empty log. */
+export const termSchema = counterSchema;
 
-/** A record of a group's log, or the empty log's end `{term: 0, position: 0}`. */
+/** Position of a record, or `EMPTY_LOG_END` for the end of an empty log. */
 export const logPositionSchema = z.strictObject({
-  term: counter,
-  position: counter,
+  term: counterSchema,
+  position: counterSchema,
 });
 export type LogPosition = z.infer<typeof logPositionSchema>;
 
-/** The first position that was written in a term. */
+/** The first position written in a term. */
 export const termStartSchema = z.strictObject({
-  term: counter,
-  firstPosition: counter,
+  term: counterSchema,
+  firstPosition: counterSchema,
 });
 export type TermStart = z.infer<typeof termStartSchema>;
 
-/** Starts of all terms of a log in rising order. */
+/** The starts of all terms of a log, in ascending order. */
 export const termHistorySchema = z.array(termStartSchema).readonly();
 export type TermHistory = z.infer<typeof termHistorySchema>;
 
 /** The end of an empty log. */
 export const EMPTY_LOG_END: LogPosition = {term: 0, position: 0};
 
-/** Negative, zero or positive as `left` is older than, equal to or newer. */
+/** Compares by age: negative if `left` is older, positive if it is newer. */
 export function compareLogPositions(
   left: LogPosition,
   right: LogPosition,
@@ -39,7 +43,7 @@
   return left.term - right.term || left.position - right.position;
 }
 
-/** The term in which the record at a position was written; 0 if unknown. */
+/** The term in which the record at a position was written, or 0 if unknown. */
 export function termAt(history: TermHistory, position: number): number {
   for (let index = history.length - 1; index >= 0; index--) {
     const start = history[index];
@@ -51,8 +55,8 @@
 }
 
 /**
- * True if a log that ends at `end` and has this history holds the record
- * `wanted`. Any log holds the empty log's end.
+ * True if the log with this history and end contains the record `wanted`.
+ * Every log contains the end of the empty log.
  */
 export function logContains(
   history: TermHistory,
--- a/packages/protocol/src/method.ts
+++ b/packages/protocol/src/method.ts
@@ -1,4 +1,4 @@
-/** Definition of a remote method by the schemas of its messages. */
+/** Definitions of remote methods by the schemas of their messages. */
 import {z} from 'zod';
 
 /** A method name with the schemas of its parameters and its result. */
@@ -8,7 +8,7 @@
   readonly result: z.ZodType<R>;
 }
 
-/** Defines a method; the message types are inferred from the schemas. */
+/** Defines a method; its types are inferred from the schemas. */
 export function defineMethod<P, R>(
   name: string,
   parameters: z.ZodType<P>,
--- a/packages/protocol/src/peer_messages.ts
+++ b/packages/protocol/src/peer_messages.ts
@@ -4,46 +4,46 @@
 import {termSchema} from './log_position';
 import {defineMethod} from './method';
 
-/** A proxy as its peers know it. */
+/** Identity and address of a proxy. */
 export const proxyIdentitySchema = z.strictObject({
-  /** Id from the settings, unique among proxies. */
+  /** Configured id, unique among proxies. */
   proxy: z.string().min(1),
-  /** Differs between two processes that bore the same id. */
+  /** Distinguishes processes that have used the same id. */
   incarnation: z.string().min(1),
   dataCentre: z.string().min(1),
-  /** Address for peers, `ip:port`. */
+  /** Address on which peers connect, `ip:port`. */
   address: z.string().min(1),
 });
 export type ProxyIdentity = z.infer<typeof proxyIdentitySchema>;
 
-/** Who leads a group, as far as the sender knows. */
+/** The primary of a group, as known to the sender. */
 export const groupLeadershipSchema = z.strictObject({
   group: z.string(),
   term: termSchema,
-  /** Member id of the primary in this term. */
+  /** Member id. */
   primary: z.string(),
 });
 export type GroupLeadership = z.infer<typeof groupLeadershipSchema>;
 
-/** `suspect`: did not answer somebody and may still refute that. */
+/** `suspect`: failed to answer a peer and may still refute the suspicion. */
 export const peerConditionSchema = z.enum(['alive', 'suspect', 'dead']);
 export type PeerCondition = z.infer<typeof peerConditionSchema>;
 
 /**
- * What is known of a proxy. Of two updates the one of the higher revision
- * counts; at the same revision the worse condition.
+ * State of a proxy as distributed by gossip. Of two updates, the one with the
+ * higher revision takes precedence; with equal revisions, the worse condition.
  */
 export const peerUpdateSchema = z.strictObject({
   proxy: proxyIdentitySchema,
-  /** Raised by the proxy itself when it refutes a worse condition. */
+  /** Incremented by the proxy itself to refute a worse condition. */
   revision: z.number().int().nonnegative(),
   condition: peerConditionSchema,
-  /** True once it stops or the platform calls it leaving; never false again. */
+  /** True once it stops or the platform lists it as leaving; never reset. */
   leaving: z.boolean(),
 });
 export type PeerUpdate = z.infer<typeof peerUpdateSchema>;
 
-/** A target that the platform's list calls leaving. */
+/** A target that the platform lists as leaving. */
 export const leavingTargetSchema = z.strictObject({
   /** Member id. */
   id: z.string(),
@@ -51,40 +51,43 @@
 });
 export type LeavingTarget = z.infer<typeof leavingTargetSchema>;
 
-const checksum = z.number().int().nonnegative().max(0xffffffff);
+const checksumSchema = z.number().int().nonnegative().max(0xffffffff);
 
-/** Hash buckets into which proxies fall when two views are compared. */
+/** Number of hash buckets for comparing the views of two proxies. */
 export const VIEW_BUCKETS = 64;
 
-/** Heartbeat and gossip between two proxies; the answer has the same form. */
+/** Heartbeat and gossip between two proxies; request and answer are alike. */
 export const peerStateSchema = z.strictObject({
   from: proxyIdentitySchema,
-  /** False while it starts and once it stops. */
+  /** False while the sender starts and once it stops. */
   ready: z.boolean(),
-  /** Version of the manifest in force; 0 without one. */
+  /** Version of the sender's current manifest; 0 if it has none. */
   manifestVersion: z.number().int().nonnegative(),
-  /** Changes of leadership since the last exchange with this peer. */
+  /** Changes of primary since the last exchange with this peer. */
   leaderships: z.array(groupLeadershipSchema),
-  /** Some of the other proxies that the sender knows to be alive. */
+  /** A selection of the proxies that the sender considers alive. */
   proxies: z.array(proxyIdentitySchema),
-  /** The sender's revision of itself; 0 if absent. */
+  /** The revision of the sender's own state; 0 if absent. */
   revision: z.number().int().nonnegative().optional(),
-  /** True once the sender stops. */
+  /** True once the sender is stopping. */
   leaving: z.boolean().optional(),
-  /** News of proxies, and what the sender believes of the receiver. */
+  /** Updates on proxies, among them the sender's state of the receiver. */
   updates: z.array(peerUpdateSchema).optional(),
-  /** News of leaving targets. */
+  /** Updates on leaving targets. */
   leavingTargets: z.array(leavingTargetSchema).optional(),
-  /** Checksum of all proxies the sender knows, and for how long it stands. */
+  /** Checksum of all proxies the sender knows, and its age in milliseconds. */
   view: z
-    .strictObject({checksum, unchangedFor: z.number().nonnegative()})
+    .strictObject({
+      checksum: checksumSchema,
+      unchangedFor: z.number().nonnegative(),
+    })
     .optional(),
-  /** Checksums by bucket: asks for what the receiver has otherwise. */
-  buckets: z.array(checksum).length(VIEW_BUCKETS).optional(),
+  /** Checksums by bucket; requests the receiver's updates where they differ. */
+  buckets: z.array(checksumSchema).length(VIEW_BUCKETS).optional(),
 });
 export type PeerState = z.infer<typeof peerStateSchema>;
 
-/** Exchanges what two proxies know. */
+/** Exchanges the known state of two proxies. */
 export const peerExchange = defineMethod(
   'peer.exchange',
   peerStateSchema,
@@ -92,8 +95,8 @@
 );
 
 /**
- * A state whose sender the receiver knows already: in place of the identity
- * stands its key, and what is empty is left out.
+ * Compact state for a receiver that already knows the sender's identity: the
+ * identity is replaced by its key, and empty fields are omitted.
  */
 export const shortPeerStateSchema = peerStateSchema
   .omit({from: true, leaderships: true, proxies: true})
@@ -105,8 +108,9 @@
 export type ShortPeerState = z.infer<typeof shortPeerStateSchema>;
 
 /**
- * Exchanges as `peer.exchange` does. Refused with INVALID_PARAMETERS by a proxy
- * that does not know the sender, and with METHOD_NOT_FOUND by older ones.
+ * Compact form of `peer.exchange`. Refused with `INVALID_PARAMETERS` by a proxy
+ * that does not know the sender, and with `METHOD_NOT_FOUND` by proxies of
+ * older versions.
  */
 export const peerShortExchange = defineMethod(
   'peer.short',
@@ -114,7 +118,7 @@
   shortPeerStateSchema,
 );
 
-/** Asks for the manifest that is in force, if it is newer than `above`. */
+/** Requests the current manifest if its version is greater than `above`. */
 export const peerManifest = defineMethod(
   'peer.manifest',
   z.strictObject({above: z.number().int().nonnegative()}),
@@ -131,9 +135,9 @@
 );
 
 /**
- * Hands a statement of a transaction to the proxy that owns it. `method` is a
- * caller's method and `request` its parameters; result or error are the
- * caller's as they stand.
+ * Forwards a request of a transaction to the proxy that owns it. `method` is a
+ * caller's method and `request` its parameters; the result or error is returned
+ * to the caller unchanged.
  */
 export const peerForward = defineMethod(
   'peer.forward',
--- a/packages/protocol/src/platform_messages.ts
+++ b/packages/protocol/src/platform_messages.ts
@@ -1,14 +1,14 @@
-/** Documents of the platform's table service, object store and list. */
+/** Documents of the platform's table service and instance list. */
 import {z} from 'zod';
 
-/** A row of a table. Version 0 means that there is no such row. */
+/** A row of a table. Version 0 means that the row does not exist. */
 export const tableRowSchema = z.strictObject({
   version: z.number().int().nonnegative(),
   value: z.unknown(),
 });
 export type TableRow = z.infer<typeof tableRowSchema>;
 
-/** A row with its key, as a listing gives it. */
+/** A row with its key, as returned by a listing. */
 export const listedRowSchema = z.strictObject({
   key: z.string(),
   version: z.number().int().positive(),
@@ -16,7 +16,7 @@
 });
 export type ListedRow = z.infer<typeof listedRowSchema>;
 
-/** An instance in the platform's lagging list. */
+/** An entry of the platform's instance list, which lags behind. */
 export const listedInstanceSchema = z.strictObject({
   /** Proxy id or member id. */
   id: z.string(),
@@ -27,7 +27,7 @@
 });
 export type ListedInstance = z.infer<typeof listedInstanceSchema>;
 
-/** An earlier commit, as the manifest row remembers it. */
+/** An earlier commit, as kept in the manifest row. */
 export const earlierCommitSchema = z.strictObject({
   version: z.number().int().positive(),
   commitId: z.string(),
@@ -36,29 +36,29 @@
 });
 export type EarlierCommit = z.infer<typeof earlierCommitSchema>;
 
-/** The manifest row's value: which body is in force. */
+/** Value of the manifest row: identifies the current manifest body. */
 export const manifestRowSchema = z.strictObject({
-  /** Unique per commit: tells whose commit won after a lost answer. */
+  /** Unique per commit; shows after a lost answer whether it took effect. */
   commitId: z.string(),
-  /** SHA-256 of the body, hexadecimal: its name in the object store. */
+  /** SHA-256 of the body, hexadecimal; the name of its object in the store. */
   digest: z.string(),
   committedBy: z.string(),
   /** Wall clock, milliseconds since 1970. */
   committedAt: z.number(),
   /**
-   * Latest earlier commits, newest first. They settle the lost answer of a
-   * commit on top of which others have come since.
+   * The latest earlier commits, newest first. They show that a commit with a
+   * lost answer took effect although later commits have replaced it.
    */
   recent: z.array(earlierCommitSchema).optional(),
 });
 export type ManifestRow = z.infer<typeof manifestRowSchema>;
 
-/** Names of tables and rows in the platform's table service. */
+/** Names of the tables in the platform's table service. */
 export const TABLES = {
   manifest: 'kelpstep-manifest',
   audit: 'kelpstep-audit',
   leadership: 'kelpstep-leadership',
 } as const;
 
-/** Key of the one manifest row. */
+/** Key of the only row of the manifest table. */
 export const MANIFEST_ROW_KEY = 'current';
--- a/packages/protocol/src/target_messages.ts
+++ b/packages/protocol/src/target_messages.ts
@@ -1,20 +1,20 @@
-/** Messages between a proxy and a target, and between targets of a group. */
+/** Messages between proxies and targets, and between the targets of a group. */
 import {z} from 'zod';
 
 import {logPositionSchema, termHistorySchema, termSchema} from './log_position';
 import {defineMethod} from './method';
 import {idempotencyKeySchema, rowsSchema, statementSchema} from './statement';
 
-/** What a target is to its group. A fenced primary is a replica. */
+/** Role of a target in its group. A fenced primary is a replica. */
 export const targetRoleSchema = z.enum(['primary', 'replica']);
 export type TargetRole = z.infer<typeof targetRoleSchema>;
 
-/** Most members of a configuration. */
+/** Maximum number of members of a configuration. */
 const MAXIMUM_MEMBERS = 100;
 
-/** The members of a group that count towards its majorities. */
+/** The voting members of a group. */
 export const configurationSchema = z.strictObject({
-  /** Version of the manifest that wanted this configuration. */
+  /** Version of the manifest that requested this configuration. */
   version: z.number().int().nonnegative(),
   members: z
     .array(z.strictObject({id: z.string(), address: z.string()}))
@@ -24,76 +24,77 @@
 });
 export type Configuration = z.infer<typeof configurationSchema>;
 
-/** A configuration and the record that brought it. */
+/** A configuration and the position of the record that contains it. */
 export const loggedConfigurationSchema = configurationSchema.extend({
   at: logPositionSchema,
 });
 export type LoggedConfiguration = z.infer<typeof loggedConfigurationSchema>;
 
-/** What a target tells about itself. */
+/** Status that a target reports. */
 export const targetStatusSchema = z.strictObject({
   /** Member id, as in the manifest. */
   target: z.string(),
-  /** Differs between two processes that bore the same id. */
+  /** Distinguishes processes that have used the same id. */
   incarnation: z.string(),
   role: targetRoleSchema,
-  /** Highest term seen; lower terms are refused. */
+  /** Highest term seen; requests of lower terms are refused. */
   term: termSchema,
   /** End of the target's log. */
   end: logPositionSchema,
-  /** Starts of the terms of its log. */
+  /** Term history of the target's log. */
   history: termHistorySchema,
-  /** Address of the primary it follows, if it follows one. */
+  /** Address of the primary that the target replicates from, if any. */
   following: z.string().optional(),
-  /** Milliseconds since it last heard its primary; absent on a primary. */
+  /** Milliseconds since the primary was last heard; absent on a primary. */
   primarySilence: z.number().nonnegative().optional(),
   /**
    * True while a target that started empty has not reached the end that its
-   * primary's log had when it joined. It counts towards no majority: it may
-   * have forgotten records and fences.
+   * primary's log had when the target joined. Until then it counts towards no
+   * majority, because it may have lost records and fences.
    */
   catchingUp: z.boolean().optional(),
   /**
-   * The newest configuration in its log, in effect from its record on. Absent
-   * if the log is empty, or written before logs held configurations.
+   * The newest configuration in the target's log, in effect from its record
+   * on. Absent if the log is empty or was written by a version that did not
+   * store configurations.
    */
   configuration: loggedConfigurationSchema.optional(),
-  /** Statements that it runs at a time. */
+  /** Maximum number of statements that run at the same time. */
   slots: z.number().int().positive(),
-  /** Connections it accepts at most. */
+  /** Maximum number of connections. */
   connectionLimit: z.number().int().positive(),
 });
 export type TargetStatus = z.infer<typeof targetStatusSchema>;
 
-/** Asks a target about itself. Takes no slot. */
+/** Requests a target's status. Takes no slot. */
 export const targetStatus = defineMethod(
   'target.status',
   z.strictObject({}),
   targetStatusSchema,
 );
 
-/** How a target treats a statement. */
+/** How a target runs a statement. */
 export const statementModeSchema = z.enum(['read', 'write']);
 export type StatementMode = z.infer<typeof statementModeSchema>;
 
-/** What a target answers to a statement. */
+/** Result of a statement. */
 export const executionSchema = z.strictObject({
   rows: rowsSchema,
   /**
-   * Write: the record written. Read: the end of the log that was read. The
-   * caller may rely on it only once a majority of the group holds it.
+   * Position of the record written, or for a read the end of the log that was
+   * read. It is confirmed only once a majority of the group holds it.
    */
   at: logPositionSchema,
-  /** True if the key had been recorded before and nothing was run now. */
+  /** True if the key was already recorded and nothing was run. */
   duplicate: z.boolean(),
 });
 export type Execution = z.infer<typeof executionSchema>;
 
 /**
- * Runs a statement: in a transaction, or on its own and committed at once.
- * A write needs `term`: a target that isn't primary in just this term refuses.
- * With `key`, statement and key are recorded together; a second execution
- * with the key gives the recorded answer.
+ * Runs a statement in a transaction, or on its own with an immediate commit.
+ * A write requires `term`; a target that is not the primary of exactly this
+ * term refuses it. With `key`, statement and key are recorded together, and a
+ * second execution with the key returns the recorded answer.
  */
 export const targetExecute = defineMethod(
   'target.execute',
@@ -107,14 +108,14 @@
   executionSchema,
 );
 
-/** Begins a transaction on this connection; it takes a slot until its end. */
+/** Begins a transaction on this connection. It holds a slot until it ends. */
 export const targetBegin = defineMethod(
   'target.begin',
   z.strictObject({term: termSchema}),
   z.strictObject({transaction: z.string()}),
 );
 
-/** Commits a transaction; its records become visible together. */
+/** Commits a transaction; its records become visible atomically. */
 export const targetCommit = defineMethod(
   'target.commit',
   z.strictObject({
@@ -124,14 +125,14 @@
   executionSchema,
 );
 
-/** Rolls a transaction back. Closing its connection does the same. */
+/** Rolls a transaction back, as closing its connection does. */
 export const targetRollback = defineMethod(
   'target.rollback',
   z.strictObject({transaction: z.string()}),
   z.strictObject({}),
 );
 
-/** What a target knows of an idempotency key. */
+/** State of an idempotency key at a target. */
 export const keyStateSchema = z.discriminatedUnion('state', [
   z.strictObject({state: z.literal('recorded'), execution: executionSchema}),
   z.strictObject({state: z.literal('cancelled'), at: logPositionSchema}),
@@ -139,10 +140,10 @@
 export type KeyState = z.infer<typeof keyStateSchema>;
 
 /**
- * Settles a key whose outcome is unknown. If the primary has recorded it, the
- * recorded answer is given. Otherwise the key is recorded as cancelled, so
- * that a request still on its way is refused when it arrives. Either answer
- * counts only once a majority holds its position.
+ * Determines the outcome of a key. If the primary has recorded the key, it
+ * returns the recorded answer. Otherwise it records the key as cancelled, so
+ * that a delayed request with the key is refused. Either answer is final only
+ * once a majority holds its position.
  */
 export const targetSettleKey = defineMethod(
   'target.settleKey',
@@ -151,9 +152,9 @@
 );
 
 /**
- * Makes the target refuse everything of terms below `term`, also replication
+ * Makes the target refuse requests of terms below `term`, including replication
  * from their primaries. Refused with `TERM_TOO_LOW` unless `term` is higher
- * than all terms the target has seen.
+ * than every term the target has seen.
  */
 export const targetFence = defineMethod(
   'target.fence',
@@ -162,9 +163,9 @@
 );
 
 /**
- * Makes the target, fenced at just this term, the primary. It writes a barrier
- * record as the first of its term and answers with the barrier's position. If
- * its log holds no configuration, the barrier takes the one given here.
+ * Promotes a target that is fenced at exactly this term to primary. It writes a
+ * barrier record as the first of its term and returns the barrier's position.
+ * If its log has no configuration, the barrier contains `configuration`.
  */
 export const targetPromote = defineMethod(
   'target.promote',
@@ -176,10 +177,11 @@
 );
 
 /**
- * Makes the primary of just this term write a record with a new configuration,
- * unless the newest in its log is another than that at `replaces`; then the
- * answer is `CONFIGURATION_CHANGED`. Who asks has seen the record `replaces`
- * and the term's barrier confirmed, and changes one member.
+ * Makes the primary of exactly this term write a record with a new
+ * configuration. Refused with `CONFIGURATION_CHANGED` if the newest
+ * configuration in its log is not the one at `replaces`. The requester ensures
+ * that the record at `replaces` and the barrier of the term are confirmed, and
+ * that the new configuration changes a single member.
  */
 export const targetReconfigure = defineMethod(
   'target.reconfigure',
@@ -191,7 +193,7 @@
   z.strictObject({at: logPositionSchema}),
 );
 
-/** Makes the target replicate from the primary of a term. */
+/** Makes the target replicate from the primary of the given term. */
 export const targetFollow = defineMethod(
   'target.follow',
   z.strictObject({term: termSchema, primary: z.string()}),
@@ -199,9 +201,10 @@
 );
 
 /**
- * Planned switch-over: the primary of `term` refuses writes and new
- * transactions with `WRITES_PAUSED` for at most this long, then goes on. The
- * answer has the end of its log, which no longer moves.
+ * Prepares a planned switch-over: the primary of `term` refuses writes and new
+ * transactions with `WRITES_PAUSED` for at most the given duration, then
+ * accepts them again. The answer contains the end of its log, which does not
+ * change during the pause.
  */
 export const targetPauseWrites = defineMethod(
   'target.pauseWrites',
@@ -213,8 +216,8 @@
 );
 
 /**
- * Starts `target.positions` notifications on this connection: one at once, one
- * for each batch of changes and one at least every heartbeat period.
+ * Starts `target.positions` notifications on this connection: one immediately,
+ * one for each batch of changes, and at least one per heartbeat period.
  */
 export const targetSubscribePositions = defineMethod(
   'target.subscribePositions',
@@ -222,32 +225,32 @@
   z.strictObject({}),
 );
 
-/** Notification: where the target's log ends now. */
+/** Notification of the target's current status. */
 export const targetPositions = {
   name: 'target.positions',
   parameters: targetStatusSchema,
 } as const;
 
-/** One record of the log, as targets replicate it. */
+/** A log record, as replicated between targets. */
 export const logRecordSchema = z.strictObject({
   at: logPositionSchema,
-  /** Statements applied together; none for a barrier. */
+  /** Statements applied atomically; empty for a barrier. */
   statements: z.array(statementSchema),
   key: idempotencyKeySchema.optional(),
   /** The answer recorded with the key. */
   rows: rowsSchema.optional(),
   /** True if the record cancels its key. */
   cancelsKey: z.boolean().optional(),
-  /** Counts for majorities from this record on. */
+  /** The group's configuration from this record on. */
   configuration: configurationSchema.optional(),
 });
 export type LogRecord = z.infer<typeof logRecordSchema>;
 
 /**
- * A replica asks its primary for records after `end`. If the replica's log
- * parts from the primary's, the answer names the last position both hold
- * (`keep`); the replica drops what lies beyond and asks again. The primary
- * holds the answer back until there are records, or a heartbeat period.
+ * Requests the records after `end` from the primary. If the replica's log has
+ * diverged, `keep` in the answer is the last position that both logs share; the
+ * replica truncates its log there and requests again. Without new records the
+ * primary delays the answer for up to a heartbeat period.
  */
 export const targetReplicate = defineMethod(
   'target.replicate',
@@ -260,7 +263,7 @@
   z.strictObject({
     keep: z.number().int().nonnegative(),
     records: z.array(logRecordSchema),
-    /** Where the primary's log ended when it answered. */
+    /** End of the primary's log when it answered. */
     primaryEnd: logPositionSchema.optional(),
   }),
 );
