--- a/packages/runtime/__tests__/random.spec.ts
+++ b/packages/runtime/__tests__/random.spec.ts
@@ -3,14 +3,14 @@
 
 import {createRandom} from '..';
 
-describe('a random source', () => {
-  test('repeats its choices for the same wide seed', () => {
+describe('a random number generator', () => {
+  test('produces the same sequence for the same wide seed', () => {
     const first = createRandom([1, 2, 3, 4]);
     const second = createRandom([1, 2, 3, 4]);
     expect(first.hexadecimal(32)).toEqual(second.hexadecimal(32));
   });
 
-  test('tells apart wide seeds that differ in any number', () => {
+  test('produces another sequence if any number of a wide seed differs', () => {
     const texts = [
       createRandom([1, 2, 3, 4]),
       createRandom([9, 2, 3, 4]),
--- a/packages/runtime/__tests__/runtime.spec.ts
+++ b/packages/runtime/__tests__/runtime.spec.ts
@@ -43,7 +43,7 @@
     expect(wakes).toEqual([10, 15]);
   });
 
-  test('gets on with time when it sleeps for the rest of a rounding', () => {
+  test('advances virtual time by a delay below the clock precision', () => {
     const {timer, runtime} = createVirtualRuntime();
     timer.advance(4408.691184830663);
     const before = timer.now();
@@ -52,7 +52,7 @@
     expect(timer.now()).toBeGreaterThan(before);
   });
 
-  test('gets messages in the order in which they were posted', () => {
+  test('receives messages in the order in which they were posted', () => {
     const {runtime} = createVirtualRuntime();
     const mailbox = createMailbox<number>();
     const seen: number[] = [];
@@ -69,7 +69,7 @@
     expect(seen).toEqual([1, 2]);
   });
 
-  test('stops waiting for a message at its limit and loses none', () => {
+  test('stops waiting for a message at the timeout and loses none', () => {
     const {timer, runtime} = createVirtualRuntime();
     const mailbox = createMailbox<string>();
     const seen: Array<string | undefined> = [];
@@ -85,7 +85,7 @@
     expect(seen).toEqual([undefined, 'late']);
   });
 
-  test('waits for a future at most the given time', () => {
+  test('stops waiting for a future at the timeout', () => {
     const {timer, runtime} = createVirtualRuntime();
     const deferred = createDeferred<string>();
     const handle = runtime.spawn('waiter', waitAtMost(deferred.future, 10));
@@ -95,7 +95,7 @@
     expect(results).toEqual([undefined]);
   });
 
-  test('runs its cleanup when it is cancelled, and nothing after', () => {
+  test('runs only its cleanup when it is cancelled', () => {
     const {timer, runtime} = createVirtualRuntime();
     const steps: string[] = [];
     const handle = runtime.spawn(
@@ -114,7 +114,7 @@
     expect(steps).toEqual(['cleaned']);
   });
 
-  test('may cancel itself and runs its cleanup', () => {
+  test('can cancel itself and runs its cleanup', () => {
     const {timer, runtime} = createVirtualRuntime();
     const steps: string[] = [];
     const handles: Array<TaskHandle<void>> = [];
@@ -137,7 +137,7 @@
     expect(steps).toEqual(['cancelled', 'cleaned']);
   });
 
-  test('passes a hundred thousand settled futures on a flat stack', () => {
+  test('waits for 100 000 settled futures without stack overflow', () => {
     const {runtime} = createVirtualRuntime();
     const deferred = createDeferred<number>();
     deferred.settle(1);
--- a/packages/runtime/__tests__/suspension_detector.spec.ts
+++ b/packages/runtime/__tests__/suspension_detector.spec.ts
@@ -3,8 +3,8 @@
 
 import {createSuspensionGuard, createVirtualTimer} from '..';
 
-describe('a suspension', () => {
-  test('shows as wall-clock time that the monotonic clock lacks', () => {
+describe('a suspension of the machine', () => {
+  test('is detected as a gap between wall clock and monotonic clock', () => {
     const timer = createVirtualTimer();
     let slept = 0;
     const guard = createSuspensionGuard({
--- a/packages/runtime/index.ts
+++ b/packages/runtime/index.ts
@@ -1,4 +1,4 @@
-/** Generator tasks, mailboxes, timer service and seeded random numbers. */
+/** Generator tasks, mailboxes, timer services and seeded random numbers. */
 export * from './src/deferred';
 export * from './src/effect';
 export * from './src/mailbox';
--- a/packages/runtime/src/deferred.ts
+++ b/packages/runtime/src/deferred.ts
@@ -1,31 +1,31 @@
 /**
- * Values that become known later. Unlike promises they settle synchronously
- * and never reject, so that tasks replay in the same order under virtual time.
- * Failures are values: use `Result` of ts-results.
+ * Futures. Unlike promises they settle synchronously and never reject, which
+ * keeps the order of tasks reproducible under virtual time. Failures are values
+ * of the type `Result` of ts-results.
  */
 
-/** Takes back a subscription; calling it again does nothing. */
+/** Cancels a subscription; further calls have no effect. */
 export type Unsubscribe = () => void;
 
-/** A value that is known now or later. */
+/** A value that is available now or later. */
 export interface Future<T> {
-  /** True once the value is known. */
+  /** True once the value is available. */
   isSettled(): boolean;
-  /** Calls the listener with the value: at once if it is already known. */
+  /** Calls the listener with the value, immediately if already settled. */
   onSettled(listener: (value: T) => void): Unsubscribe;
 }
 
 /** A future together with the function that settles it. */
 export interface Deferred<T> {
   readonly future: Future<T>;
-  /** Gives the value. Returns false if the future was settled before. */
+  /** Settles the future. Returns false if it was already settled. */
   settle(value: T): boolean;
 }
 
 /** Creates an unsettled future and the function that settles it. */
 export function createDeferred<T>(): Deferred<T> {
   let outcome: {readonly value: T} | undefined;
-  // Most futures have one listener: it needs no list.
+  // Most futures have a single listener, which needs no array.
   let first: ((value: T) => void) | undefined;
   let others: Array<(value: T) => void> | undefined;
 
@@ -34,11 +34,11 @@
       return false;
     }
     outcome = {value};
-    const [firstWaiting, othersWaiting] = [first, others];
+    const [firstListener, otherListeners] = [first, others];
     first = undefined;
     others = undefined;
-    firstWaiting?.(value);
-    othersWaiting?.forEach(listener => listener(value));
+    firstListener?.(value);
+    otherListeners?.forEach(listener => listener(value));
     return true;
   }
 
@@ -70,14 +70,14 @@
   };
 }
 
-/** A future that is settled from the start. */
+/** Creates a settled future. */
 export function settledFuture<T>(value: T): Future<T> {
   const deferred = createDeferred<T>();
   deferred.settle(value);
   return deferred.future;
 }
 
-/** Derives a future whose value is computed from another's. */
+/** Derives a future by transforming the value of another. */
 export function mapFuture<T, U>(
   future: Future<T>,
   transform: (value: T) => U,
@@ -87,7 +87,7 @@
   return deferred.future;
 }
 
-/** Wraps a future for callers that use promises, such as tests. */
+/** Converts a future to a promise, for example in tests. */
 export function promiseFromFuture<T>(future: Future<T>): Promise<T> {
   return new Promise(resolve => {
     future.onSettled(resolve);
--- a/packages/runtime/src/effect.ts
+++ b/packages/runtime/src/effect.ts
@@ -1,56 +1,56 @@
 /**
- * What a task may wait for. A task is a generator that yields effects; the
- * runtime starts each effect and resumes the task with its value.
+ * Tasks and effects. A task is a generator that yields effects; the runtime
+ * starts each effect and resumes the task with the value of the effect.
  */
 import {Future, Unsubscribe} from './deferred';
 import {Milliseconds, TimerService} from './timer';
 
-/** Something that a task waits for, with a value of type `T` at its end. */
+/** An operation that a task waits for; it completes with a value. */
 export interface Effect<T> {
-  /** Starts waiting. The returned function gives the wait up. */
+  /** Starts the effect. The returned function cancels it. */
   start(timer: TimerService, resume: (value: T) => void): Unsubscribe;
 }
 
 /**
- * A generator task. Inside, wait by `yield*` on the functions of this module:
- * `const reply = yield* waitFor(future);`
+ * A generator task. It waits with `yield*` on the functions of this module, for
+ * example `const reply = yield* waitFor(future);`.
  */
 export type Task<T> = Generator<Effect<unknown>, T, unknown>;
 
-/** Waits for any effect and gives its value with its type. */
+/** Waits for an effect and returns its value. */
 export function* perform<T>(effect: Effect<T>): Task<T> {
   return (yield effect as Effect<unknown>) as T;
 }
 
-/** An effect that ends after a duration. */
+/** Creates an effect that completes after a duration. */
 export function delay(duration: Milliseconds): Effect<undefined> {
   return {
     start: (timer, resume) => timer.after(duration, () => resume(undefined)),
   };
 }
 
-/** An effect that ends when the future settles. */
+/** Creates an effect that completes when the future settles. */
 export function settled<T>(future: Future<T>): Effect<T> {
   return {start: (unusedTimer, resume) => future.onSettled(resume)};
 }
 
-/** Which effect of a race ended first, and its value. */
+/** Index and value of the effect that completed first. */
 export interface RaceWinner<T> {
   readonly index: number;
   readonly value: T;
 }
 
-/** An effect that ends with the first of several; the others are given up. */
+/** Completes with the first of several effects and cancels the others. */
 export function race<T>(
   effects: ReadonlyArray<Effect<T>>,
 ): Effect<RaceWinner<T>> {
   return {
     start(timer, resume) {
-      const cancels: Unsubscribe[] = [];
+      const cancelFunctions: Unsubscribe[] = [];
       let ended = false;
       function end(): void {
         ended = true;
-        for (const cancel of cancels) {
+        for (const cancel of cancelFunctions) {
           cancel();
         }
       }
@@ -67,7 +67,7 @@
         if (ended) {
           cancel();
         } else {
-          cancels.push(cancel);
+          cancelFunctions.push(cancel);
         }
       });
       return end;
@@ -80,7 +80,7 @@
   yield* perform(delay(duration));
 }
 
-/** Waits for a future; one that is settled costs no turn of the task. */
+/** Waits for a future. If it is settled, the task does not yield. */
 export function* waitFor<T>(future: Future<T>): Task<T> {
   if (future.isSettled()) {
     return valueOf(future);
@@ -88,7 +88,7 @@
   return yield* perform(settled(future));
 }
 
-/** The value of a future that is settled. */
+/** Returns the value of a settled future. */
 function valueOf<T>(future: Future<T>): T {
   let settledValue: T | undefined;
   future.onSettled(value => {
@@ -97,7 +97,7 @@
   return settledValue as T;
 }
 
-/** Waits for a future at most a duration; `undefined` if it did not settle. */
+/** Waits for a future; `undefined` if it does not settle in the duration. */
 export function* waitAtMost<T>(
   future: Future<T>,
   duration: Milliseconds,
--- a/packages/runtime/src/mailbox.ts
+++ b/packages/runtime/src/mailbox.ts
@@ -1,26 +1,26 @@
-/** Queues through which tasks get their messages. */
+/** Message queues of tasks. */
 import {Effect, Task, delay, perform, race} from './effect';
 import {Milliseconds} from './timer';
 
-/** A queue of messages with one task reading from it. */
+/** A queue of messages that one task reads. */
 export interface Mailbox<M> {
-  /** Adds a message; a task that waits for one is resumed. */
+  /** Adds a message and resumes a waiting task. */
   post(message: M): void;
-  /** An effect that ends with the next message. */
+  /** Creates an effect that completes with the next message. */
   next(): Effect<M>;
-  /** Takes the next message if there is one. */
+  /** Removes and returns the next message, if any. */
   take(): M | undefined;
-  /** Messages that wait. */
+  /** Number of queued messages. */
   size(): number;
 }
 
 /** Creates an empty mailbox. */
 export function createMailbox<M>(): Mailbox<M> {
   const messages: M[] = [];
-  const readers: Array<(message: M) => void> = [];
+  const pendingReaders: Array<(message: M) => void> = [];
 
   function post(message: M): void {
-    const reader = readers.shift();
+    const reader = pendingReaders.shift();
     if (reader === undefined) {
       messages.push(message);
     } else {
@@ -35,11 +35,11 @@
           resume(messages.shift() as M);
           return () => {};
         }
-        readers.push(resume);
+        pendingReaders.push(resume);
         return () => {
-          const index = readers.indexOf(resume);
+          const index = pendingReaders.indexOf(resume);
           if (index >= 0) {
-            readers.splice(index, 1);
+            pendingReaders.splice(index, 1);
           }
         };
       },
@@ -59,7 +59,7 @@
   return yield* perform(mailbox.next());
 }
 
-/** Waits for the next message at most a duration; else `undefined`. */
+/** Waits for the next message; `undefined` if none arrives in the duration. */
 export function* receiveAtMost<M>(
   mailbox: Mailbox<M>,
   duration: Milliseconds,
--- a/packages/runtime/src/random.ts
+++ b/packages/runtime/src/random.ts
@@ -1,29 +1,29 @@
-/** Seeded random numbers, so that a run can be repeated from its seed. */
+/** Seeded random numbers, which make a run reproducible from its seed. */
 import {
   unsafeUniformIntDistribution,
   xoroshiro128plus,
   type RandomGenerator,
 } from 'pure-rand';
 
-/** A source of random choices. */
+/** A random number generator. */
 export interface Random {
   /** A number from 0 (inclusive) to 1 (exclusive). */
   fraction(): number;
-  /** A whole number from `low` to `high`, both inclusive. */
+  /** An integer from `low` to `high`, both inclusive. */
   integer(low: number, high: number): number;
   /** One of the items; the list must not be empty. */
   pick<T>(items: readonly T[]): T;
-  /** `value` spread evenly over plus or minus `share` of it. */
-  jitter(value: number, share: number): number;
-  /** Text of hexadecimal digits, for example for identifiers. */
+  /** `value`, varied uniformly by up to plus or minus `ratio` times itself. */
+  jitter(value: number, ratio: number): number;
+  /** A string of hexadecimal digits, for example for identifiers. */
   hexadecimal(digits: number): string;
-  /** An independent source derived from this one. */
+  /** An independent generator that is seeded from this one. */
   split(): Random;
 }
 
 const FRACTION_RANGE = 0x1000000;
 
-/** Four 32-bit numbers: as much as a source can tell apart. */
+/** A seed for the whole state of the generator: four 32-bit numbers. */
 export type WideSeed = readonly [number, number, number, number];
 
 function createGenerator(seed: number | WideSeed): RandomGenerator {
@@ -33,8 +33,9 @@
 }
 
 /**
- * Creates a source that gives the same choices for the same seed. Daemons need
- * a wide one: identifiers made from equal seeds would name two requests alike.
+ * Creates a generator whose sequence is determined by the seed. Daemons need a
+ * wide seed, because processes with equal seeds would create equal request
+ * identifiers.
  */
 export function createRandom(seed: number | WideSeed): Random {
   const generator = createGenerator(seed);
@@ -61,7 +62,7 @@
     pick<T>(items: readonly T[]): T {
       return items[integer(0, items.length - 1)] as T;
     },
-    jitter: (value, share) => value * (1 + share * (2 * fraction() - 1)),
+    jitter: (value, ratio) => value * (1 + ratio * (2 * fraction() - 1)),
     hexadecimal,
     split: () => createRandom(integer(0, 0x7fffffff)),
   };
--- a/packages/runtime/src/real_timer.ts
+++ b/packages/runtime/src/real_timer.ts
@@ -1,7 +1,7 @@
 /** Timer service on the clocks and timers of Node.js. */
 import {TimerService} from './timer';
 
-/** Creates the timer service that daemons use. */
+/** Creates the timer service for daemons. */
 export function createRealTimer(): TimerService {
   return {
     now: () => performance.now(),
--- a/packages/runtime/src/retry_backoff.ts
+++ b/packages/runtime/src/retry_backoff.ts
@@ -1,24 +1,24 @@
-/** How long to wait before something that failed is tried again. */
+/** Backoff before a failed operation is retried. */
 import type {Random} from './random';
 import type {Milliseconds} from './timer';
 
-/** Bounds of the pauses. */
+/** Bounds of the backoff before jitter. */
 export interface RetryPauseBounds {
   readonly first: Milliseconds;
   readonly longest: Milliseconds;
 }
 
-/** As share of the pause: many that failed together don't come back together. */
-const JITTER = 0.3;
-/** Keeps the power finite after however many failures. */
-const MOST_DOUBLINGS = 16;
+/** Spreads the retries of operations that failed at the same time. */
+const JITTER_RATIO = 0.3;
+/** Keeps the power of two finite after any number of failures. */
+const MAXIMUM_DOUBLINGS = 16;
 
-/** Doubles with each earlier failure up to the longest, and varies by chance. */
+/** Exponential backoff with jitter: doubles with each earlier failure. */
 export function retryPause(
   {first, longest}: RetryPauseBounds,
   earlierFailures: number,
   random: Random,
 ): Milliseconds {
-  const doublings = Math.min(earlierFailures, MOST_DOUBLINGS);
-  return random.jitter(Math.min(longest, first * 2 ** doublings), JITTER);
+  const doublings = Math.min(earlierFailures, MAXIMUM_DOUBLINGS);
+  return random.jitter(Math.min(longest, first * 2 ** doublings), JITTER_RATIO);
 }
--- a/packages/runtime/src/runtime.ts
+++ b/packages/runtime/src/runtime.ts
@@ -6,30 +6,30 @@
 
 /** A running task. */
 export interface TaskHandle<T> {
-  /** Settles with the task's result; never if it is cancelled or fails. */
+  /** Settles with the task's result, unless the task is cancelled or fails. */
   readonly result: Future<T>;
-  /** Ends the task: its `finally` blocks run, then nothing more of it. */
+  /** Ends the task after running its `finally` blocks. */
   cancel(): void;
 }
 
 /** Called when a task throws. */
 export type TaskFailureListener = (error: unknown, name: string) => void;
 
-/** What parts need to run tasks: time, chance and the means to start them. */
+/** Runs tasks and provides them with time and random numbers. */
 export interface Runtime {
   readonly timer: TimerService;
   readonly random: Random;
-  /** Starts a task; it runs at once up to its first wait. */
+  /** Starts a task, which runs synchronously up to its first wait. */
   spawn<T>(name: string, task: Task<T>): TaskHandle<T>;
-  /** Cancels every running task, as when the process dies. */
+  /** Cancels all running tasks, as if the process had ended. */
   shutdown(): void;
 }
 
-/** What a runtime is made of. */
+/** Dependencies and settings of a runtime. */
 export interface RuntimeOptions {
   readonly timer: TimerService;
   readonly random: Random;
-  /** By default a failure is thrown on to whoever resumed the task. */
+  /** By default the error is rethrown to the code that resumed the task. */
   readonly onTaskFailure?: TaskFailureListener;
 }
 
@@ -45,9 +45,9 @@
 
   function spawn<T>(name: string, task: Task<T>): TaskHandle<T> {
     const result = createDeferred<T>();
-    let giveUp: Unsubscribe = () => {};
+    let cancelWait: Unsubscribe = () => {};
     let ended = false;
-    let advancing = false;
+    let isAdvancing = false;
 
     function finish(): void {
       ended = true;
@@ -59,9 +59,9 @@
         return;
       }
       finish();
-      giveUp();
-      // A task that cancels itself is ended once it waits again.
-      if (!advancing) {
+      cancelWait();
+      // A task that cancels itself is unwound by `advance` at its next wait.
+      if (!isAdvancing) {
         unwind();
       }
     }
@@ -75,12 +75,13 @@
     }
 
     /**
-     * Resumes the task until it waits for something that is not there yet. An
-     * effect that ends within `start` is handled by the loop, not by
-     * recursion, so that long runs of settled futures keep the stack flat.
+     * Resumes the task until it waits for an effect that does not complete
+     * synchronously. Effects that complete within `start` are handled by the
+     * loop instead of recursion, so that many of them in a row do not overflow
+     * the stack.
      */
-    function run(first: unknown): void {
-      let value = first;
+    function run(firstValue: unknown): void {
+      let value = firstValue;
       for (;;) {
         const step = advance(value);
         if (step === undefined) {
@@ -101,9 +102,9 @@
         return undefined;
       }
       try {
-        advancing = true;
+        isAdvancing = true;
         const step = task.next(value);
-        advancing = false;
+        isAdvancing = false;
         if (!step.done && !ended) {
           return {effect: step.value};
         }
@@ -114,7 +115,7 @@
         finish();
         result.settle(step.value);
       } catch (error) {
-        advancing = false;
+        isAdvancing = false;
         finish();
         onTaskFailure(error, name);
       }
@@ -124,18 +125,18 @@
     function wait(
       effect: Effect<unknown>,
     ): {readonly value: unknown} | undefined {
-      let within = true;
-      let immediate: {readonly value: unknown} | undefined;
+      let isStarting = true;
+      let immediateOutcome: {readonly value: unknown} | undefined;
       const cancelEffect = effect.start(timer, value => {
-        if (within) {
-          immediate = {value};
+        if (isStarting) {
+          immediateOutcome = {value};
         } else {
           run(value);
         }
       });
-      within = false;
-      giveUp = cancelEffect;
-      return immediate;
+      isStarting = false;
+      cancelWait = cancelEffect;
+      return immediateOutcome;
     }
 
     running.add(cancel);
--- a/packages/runtime/src/suspension_detector.ts
+++ b/packages/runtime/src/suspension_detector.ts
@@ -1,32 +1,32 @@
 /**
- * Notices that the process stood still in a way that the monotonic clock does
- * not show: a suspended machine. What was measured before is then older than
- * it seems.
+ * Detects suspensions of the machine, during which the monotonic clock does not
+ * advance. Earlier measurements are then older than the monotonic clock shows.
  */
 import type {Milliseconds, TimerService} from './timer';
 
 /**
- * Difference between the advances of the two clocks that counts. Above what
- * clock discipline does within a second, well below the shortest staleness
- * that routes ask for. A step of the wall clock counts too: it costs a sample.
+ * Largest difference between the advances of the two clocks that is not treated
+ * as a suspension: above the correction that clock synchronization makes within
+ * a second, well below the shortest staleness bound of a route. A step of the
+ * wall clock is treated as a suspension too, at the cost of one sample.
  */
-const TOLERATED_DIFFERENCE: Milliseconds = 100;
+const TOLERATED_DIFFERENCE_MS: Milliseconds = 100;
 
-/** Compares the clocks each time it is asked. */
+/** Compares the wall clock with the monotonic clock on each call. */
 export interface SuspensionGuard {
-  /** True if time may have passed unnoticed since the last question. */
+  /** True if the machine may have been suspended since the previous call. */
   hasSlept(): boolean;
 }
 
-/** Creates a guard that starts now. */
+/** Creates a detector for suspensions from now on. */
 export function createSuspensionGuard(timer: TimerService): SuspensionGuard {
   let offset = timer.wallClock() - timer.now();
   return {
     hasSlept() {
       const current = timer.wallClock() - timer.now();
-      const slept = Math.abs(current - offset) > TOLERATED_DIFFERENCE;
+      const suspended = Math.abs(current - offset) > TOLERATED_DIFFERENCE_MS;
       offset = current;
-      return slept;
+      return suspended;
     },
   };
 }
--- a/packages/runtime/src/timer.ts
+++ b/packages/runtime/src/timer.ts
@@ -1,17 +1,17 @@
-/** The timer service: the only source of time for every other module. */
+/** The timer service, the only source of time in all other modules. */
 import {Unsubscribe} from './deferred';
 
-/** Milliseconds, as a duration or a point on one of the two clocks. */
+/** Milliseconds: a duration, or a time of one of the two clocks. */
 export type Milliseconds = number;
 
-/** What parts subscribe to in place of the global timers. */
+/** Clocks and timers; replaces the global timers. */
 export interface TimerService {
-  /** Monotonic clock in milliseconds. Its zero has no meaning. */
+  /** Monotonic clock in milliseconds from an arbitrary origin. */
   now(): Milliseconds;
-  /** Wall clock in milliseconds since 1970. It may jump. */
+  /** Wall clock in milliseconds since 1970. It may be set forward or back. */
   wallClock(): Milliseconds;
   /** Calls the listener once after the delay. */
   after(delay: Milliseconds, listener: () => void): Unsubscribe;
-  /** Calls the listener every period until it is unsubscribed. */
+  /** Calls the listener once per period until unsubscribed. */
   every(period: Milliseconds, listener: () => void): Unsubscribe;
 }
--- a/packages/runtime/src/virtual_timer.ts
+++ b/packages/runtime/src/virtual_timer.ts
@@ -1,44 +1,44 @@
-/** Timer service whose time moves only when a test moves it. */
+/** Timer service with virtual time, which advances only on request. */
 import {Milliseconds, TimerService} from './timer';
 
 /** Wall clock at the start of virtual time: 2026-01-01T00:00:00Z. */
 export const VIRTUAL_EPOCH: Milliseconds = Date.UTC(2026, 0, 1);
 
 /**
- * A positive delay moves time at least so far. Else a rest that is left by
- * rounding, smaller than what `now` can show, would be waited for for ever.
+ * Minimum of positive delays. A remainder from rounding can be smaller than the
+ * precision of `now`; waiting for it would never advance the time.
  */
-const SHORTEST_DELAY: Milliseconds = 0.001;
+const MINIMUM_DELAY_MS: Milliseconds = 0.001;
 
-/** A timer service with the means to move its time. */
+/** A timer service whose time is advanced by its user. */
 export interface VirtualTimer extends TimerService {
-  /** Runs all that falls due within the next milliseconds, in order. */
+  /** Advances the time and runs all timers that fall due, in order. */
   advance(duration: Milliseconds): void;
-  /** Runs the next timer that is due. Returns false if there is none. */
+  /** Advances to the next timer and runs it. Returns false if there is none. */
   step(): boolean;
-  /** Steps until the condition holds; false if `limit` passes first. */
+  /** Runs timers until the condition holds; false if `limit` passes first. */
   runUntil(condition: () => boolean, limit: Milliseconds): boolean;
 }
 
-interface Entry {
+interface TimerEntry {
   readonly due: Milliseconds;
   readonly order: number;
   readonly listener: () => void;
   cancelled: boolean;
 }
 
-function isBefore(left: Entry, right: Entry): boolean {
+function isBefore(left: TimerEntry, right: TimerEntry): boolean {
   return (
     left.due < right.due || (left.due === right.due && left.order < right.order)
   );
 }
 
-/** Binary heap of entries, the earliest first. */
+/** Creates a binary min-heap of timers, ordered by due time. */
 function createHeap() {
-  const entries: Entry[] = [];
+  const entries: TimerEntry[] = [];
 
-  function at(index: number): Entry {
-    return entries[index] as Entry;
+  function at(index: number): TimerEntry {
+    return entries[index] as TimerEntry;
   }
 
   function swap(left: number, right: number): void {
@@ -47,7 +47,7 @@
     entries[right] = entry;
   }
 
-  function push(entry: Entry): void {
+  function push(entry: TimerEntry): void {
     entries.push(entry);
     let index = entries.length - 1;
     while (index > 0) {
@@ -60,49 +60,49 @@
     }
   }
 
-  function pop(): Entry | undefined {
+  function pop(): TimerEntry | undefined {
     const top = entries[0];
     const last = entries.pop();
     if (top === undefined || last === undefined || top === last) {
       return top;
     }
     entries[0] = last;
-    sink();
+    siftDown();
     return top;
   }
 
-  function sink(): void {
+  function siftDown(): void {
     let index = 0;
     for (;;) {
       const left = 2 * index + 1;
       const right = left + 1;
-      let least = index;
-      if (left < entries.length && isBefore(at(left), at(least))) {
-        least = left;
+      let smallest = index;
+      if (left < entries.length && isBefore(at(left), at(smallest))) {
+        smallest = left;
       }
-      if (right < entries.length && isBefore(at(right), at(least))) {
-        least = right;
+      if (right < entries.length && isBefore(at(right), at(smallest))) {
+        smallest = right;
       }
-      if (least === index) {
+      if (smallest === index) {
         return;
       }
-      swap(index, least);
-      index = least;
+      swap(index, smallest);
+      index = smallest;
     }
   }
 
   return {push, pop, peek: () => entries[0]};
 }
 
-/** Creates a virtual timer at monotonic time zero. */
+/** Creates a virtual timer at monotonic time 0. */
 export function createVirtualTimer(): VirtualTimer {
   const heap = createHeap();
   let time: Milliseconds = 0;
   let nextOrder = 0;
 
   function after(delay: Milliseconds, listener: () => void) {
-    const entry: Entry = {
-      due: delay > 0 ? time + Math.max(delay, SHORTEST_DELAY) : time,
+    const entry: TimerEntry = {
+      due: delay > 0 ? time + Math.max(delay, MINIMUM_DELAY_MS) : time,
       order: nextOrder++,
       listener,
       cancelled: false,
@@ -122,8 +122,8 @@
     return () => cancel();
   }
 
-  /** Drops cancelled entries from the top, then gives the first live one. */
-  function next(): Entry | undefined {
+  /** Removes cancelled timers from the top and returns the next active one. */
+  function next(): TimerEntry | undefined {
     let entry = heap.peek();
     while (entry !== undefined && entry.cancelled) {
       heap.pop();
@@ -146,7 +146,7 @@
   function advance(duration: Milliseconds): void {
     const end = time + duration;
     while (runNext(end)) {
-      // Each turn runs one entry.
+      // Each iteration runs one timer.
     }
     time = end;
   }
