--- a/packages/rpc/__tests__/peer.spec.ts
+++ b/packages/rpc/__tests__/peer.spec.ts
@@ -24,7 +24,7 @@
   z.number(),
 );
 const refuse = defineMethod('refuse', z.strictObject({}), z.number());
-const silent = defineMethod('silent', z.strictObject({}), z.number());
+const unanswered = defineMethod('unanswered', z.strictObject({}), z.number());
 
 async function startServer() {
   const timer = createRealTimer();
@@ -34,7 +34,7 @@
     .handle(refuse, () =>
       settledFuture(Err(createFailure('OVERLOADED', {retryAfter: 7}))),
     )
-    .handle(silent, () => ({
+    .handle(unanswered, () => ({
       isSettled: () => false,
       onSettled: () => () => {},
     }));
@@ -71,7 +71,7 @@
     expect(replies.map(reply => reply.unwrap())).toEqual([2, 4, 6, 8]);
   });
 
-  test('passes a failure with its time to come back', async () => {
+  test('returns a failure with its retry delay', async () => {
     const {peer, stop} = await startServer();
     const reply = await promiseFromFuture(peer.request(refuse, {}, 1000));
     stop();
@@ -79,23 +79,23 @@
     expect(reply.err && reply.val.failure.retryAfter).toEqual(7);
   });
 
-  test('gives up a request whose answer does not come', async () => {
+  test('fails a request without an answer at its timeout', async () => {
     const {peer, stop} = await startServer();
-    const reply = await promiseFromFuture(peer.request(silent, {}, 20));
+    const reply = await promiseFromFuture(peer.request(unanswered, {}, 20));
     stop();
     expect(reply.err && reply.val.kind).toEqual('timeout');
     expect(peer.pendingRequests()).toEqual(0);
   });
 
-  test('fails what is pending when the connection ends', async () => {
+  test('fails pending requests when the connection is closed', async () => {
     const {peer, stop} = await startServer();
-    const pending = promiseFromFuture(peer.request(silent, {}, 60_000));
+    const pending = promiseFromFuture(peer.request(unanswered, {}, 60_000));
     stop();
     const reply = await pending;
     expect(reply.err && reply.val.kind).toEqual('closed');
   });
 
-  test('closes a connection that sends no JSON or too long a line', async () => {
+  test('closes a connection on invalid JSON or too long a line', async () => {
     const {address, stop} = await startServer();
     for (const bytes of ['{"half\n', 'x'.repeat(2000)]) {
       const socket = connect(parseAddress(address));
@@ -107,7 +107,7 @@
     stop();
   });
 
-  test('ends all connections of a transport that closes', async () => {
+  test('closes all connections of a transport that is closed', async () => {
     const {peer, transport, stop} = await startServer();
     transport.close();
     const reason = await promiseFromFuture(peer.closed);
@@ -115,7 +115,7 @@
     expect(reason).toEqual('closed by the other end');
   });
 
-  test('reports a port where nobody listens as refused', async () => {
+  test('reports a port without a listener as refused', async () => {
     const {address, transport, stop} = await startServer();
     stop();
     await new Promise(resolve => setTimeout(resolve, 20));
--- a/packages/rpc/__tests__/peer_links.spec.ts
+++ b/packages/rpc/__tests__/peer_links.spec.ts
@@ -37,7 +37,7 @@
     idleTime: 1000,
   });
 
-  function ask(address: string, text: string): string[] {
+  function sendRequest(address: string, text: string): string[] {
     const outcomes: string[] = [];
     links.request(address, echo, {text}, 100).onSettled(reply => {
       outcomes.push(
@@ -48,35 +48,35 @@
     return outcomes;
   }
 
-  return {timer, network, links, ask, accepted: () => accepted};
+  return {timer, network, links, sendRequest, accepted: () => accepted};
 }
 
 describe('links to peers', () => {
-  test('use one connection for many requests', () => {
-    const {ask, accepted} = startTwoProxies();
-    expect(ask(ADDRESS, 'a')).toEqual(['a']);
-    expect(ask(ADDRESS, 'b')).toEqual(['b']);
+  test('use one connection for several requests', () => {
+    const {sendRequest, accepted} = startTwoProxies();
+    expect(sendRequest(ADDRESS, 'a')).toEqual(['a']);
+    expect(sendRequest(ADDRESS, 'b')).toEqual(['b']);
     expect(accepted()).toEqual(1);
   });
 
-  test('replace a connection that went silent', () => {
-    const {ask, network, accepted} = startTwoProxies();
-    ask(ADDRESS, 'a');
+  test('replace a connection that became unresponsive', () => {
+    const {sendRequest, network, accepted} = startTwoProxies();
+    sendRequest(ADDRESS, 'a');
     network.silence('10.0.0.1', '10.0.0.2');
-    expect(ask(ADDRESS, 'b')).toEqual(['timeout, sent: true']);
-    expect(ask(ADDRESS, 'c')).toEqual(['c']);
+    expect(sendRequest(ADDRESS, 'b')).toEqual(['timeout, sent: true']);
+    expect(sendRequest(ADDRESS, 'c')).toEqual(['c']);
     expect(accepted()).toEqual(2);
   });
 
-  test('say that nothing was sent if there is no connection', () => {
-    const {ask, links} = startTwoProxies();
-    expect(ask('10.0.0.2:2', 'a')).toEqual(['closed, sent: false']);
+  test('report that nothing was sent if no connection can be opened', () => {
+    const {sendRequest, links} = startTwoProxies();
+    expect(sendRequest('10.0.0.2:2', 'a')).toEqual(['closed, sent: false']);
     expect(links.size()).toEqual(0);
   });
 
-  test('close connections that are not used', () => {
-    const {ask, links, timer} = startTwoProxies();
-    ask(ADDRESS, 'a');
+  test('close idle connections', () => {
+    const {sendRequest, links, timer} = startTwoProxies();
+    sendRequest(ADDRESS, 'a');
     expect(links.size()).toEqual(1);
     timer.advance(2500);
     expect(links.size()).toEqual(0);
--- a/packages/rpc/index.ts
+++ b/packages/rpc/index.ts
@@ -1,4 +1,4 @@
-/** JSON-RPC 2.0 between processes over TCP or over a transport passed in. */
+/** JSON-RPC 2.0 between processes over TCP or another transport. */
 export * from './src/accept_connections';
 export * from './src/failure_codec';
 export * from './src/handlers';
--- a/packages/rpc/src/accept_connections.ts
+++ b/packages/rpc/src/accept_connections.ts
@@ -1,16 +1,16 @@
-/** Listening for as long as something runs. */
+/** Listening on an address until stopped. */
 import type {Address, Connection, Transport} from './transport';
 
-/** What accepts connections. */
+/** Where to listen, and what to call. */
 export interface AcceptOptions {
   readonly transport: Transport;
   readonly address: Address;
   accept(connection: Connection): void;
-  /** The address could not be listened on. */
+  /** Called if listening on the address fails. */
   onFailure(message: string): void;
 }
 
-/** Starts to listen; gives the function that stops it. Open connections stay. */
+/** Starts listening. The returned function ends it; open connections remain. */
 export function acceptConnections(options: AcceptOptions): () => void {
   const listening = options.transport.listen(options.address, options.accept);
   listening.onSettled(result => {
--- a/packages/rpc/src/failure_codec.ts
+++ b/packages/rpc/src/failure_codec.ts
@@ -1,4 +1,4 @@
-/** Failures as JSON-RPC error objects and back. */
+/** Conversion between failures and JSON-RPC error objects. */
 import {
   ERRORS,
   ErrorName,
@@ -8,7 +8,7 @@
 } from '@kelpstep/protocol';
 import type {JSONRPCError} from 'json-rpc-2.0';
 
-/** Gives the JSON-RPC error object of a failure. */
+/** Converts a failure to a JSON-RPC error object. */
 export function encodeFailure(failure: Failure): JSONRPCError {
   const {name, message, outcome, retryAfter, term, details} = failure;
   const {code, retryable} = ERRORS[name];
@@ -23,7 +23,7 @@
   return Object.hasOwn(ERRORS, name);
 }
 
-/** Reads a JSON-RPC error object; anything odd becomes `INTERNAL_ERROR`. */
+/** Parses a JSON-RPC error object; an invalid one becomes `INTERNAL_ERROR`. */
 export function decodeFailure(error: JSONRPCError): Failure {
   const data = errorDataSchema.safeParse(error.data);
   if (!data.success || !isErrorName(data.data.name)) {
--- a/packages/rpc/src/handlers.ts
+++ b/packages/rpc/src/handlers.ts
@@ -1,4 +1,4 @@
-/** Handlers of the methods that a process serves on a connection. */
+/** Handlers for the methods that a process serves on its connections. */
 import {Failure, Method, createFailure} from '@kelpstep/protocol';
 import {Future, settledFuture} from '@kelpstep/runtime';
 import {Err, Result} from 'ts-results';
@@ -8,14 +8,14 @@
 /** The answer to a request: a result or a failure. */
 export type Reply<R> = Result<R, Failure>;
 
-/** Serves one method; the peer is the connection that the request came by. */
+/** Serves a method; `peer` is the connection that received the request. */
 export type Handler<P, R> = (parameters: P, peer: RpcPeer) => Future<Reply<R>>;
 
 /** Handlers by method name. */
 export interface HandlerTable {
-  /** Adds the handler of a method and checks its parameters by its schema. */
+  /** Adds the handler of a method; it is called with validated parameters. */
   handle<P, R>(method: Method<P, R>, handler: Handler<P, R>): HandlerTable;
-  /** Answers a request. */
+  /** Validates a request and passes it to its handler. */
   dispatch(
     name: string,
     parameters: unknown,
@@ -28,7 +28,7 @@
   peer: RpcPeer,
 ) => Future<Reply<unknown>>;
 
-/** Creates an empty table. */
+/** Creates a table without handlers. */
 export function createHandlerTable(): HandlerTable {
   const handlers = new Map<string, UntypedHandler>();
 
--- a/packages/rpc/src/peer.ts
+++ b/packages/rpc/src/peer.ts
@@ -1,8 +1,8 @@
 /**
- * One end of a JSON-RPC connection: sends requests and correlates the answers,
- * and serves the other end's requests. The message forms come from
- * json-rpc-2.0; its client is not used because it settles promises, whose
- * order virtual time does not control.
+ * One end of a JSON-RPC connection: sends requests, matches the responses to
+ * them, and serves the requests of the remote end. The message formats come
+ * from json-rpc-2.0. Its client is not used because it settles promises, and
+ * their order is not reproducible under virtual time.
  */
 import {Failure, Method, createFailure} from '@kelpstep/protocol';
 import {
@@ -32,58 +32,58 @@
 /** How a request failed. */
 export interface RequestFailure {
   /**
-   * `refused`: the other end answered with an error. `timeout`: no answer in
-   * time. `closed`: the connection ended first. `malformed`: the answer does
-   * not match the method's schema. For all but `refused` the other end may
-   * have acted, unless `sent` is false.
+   * `refused`: the remote end answered with an error. `timeout`: there was no
+   * answer within the timeout. `closed`: the connection was closed before the
+   * answer. `malformed`: the answer does not match the method's schema. Except
+   * for `refused`, the remote end may have run the request if `sent` is true.
    */
   readonly kind: 'refused' | 'timeout' | 'closed' | 'malformed';
   /** False if the request never left this process. */
   readonly sent: boolean;
-  /** The other end's failure, or one that describes the kind. */
+  /** The failure sent by the remote end, or one that describes the kind. */
   readonly failure: Failure;
 }
 
-/** Receives notifications by method name. */
+/** Receives the parameters of a notification. */
 export type NotificationListener = (parameters: unknown) => void;
 
 /** One end of a connection. */
 export interface RpcPeer {
   readonly remoteAddress: string;
-  /** Sends a request; an answer after the timeout is dropped. */
+  /** Sends a request; an answer after the timeout is ignored. */
   request<P, R>(
     method: Method<P, R>,
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
-  /** Sends a message that gets no answer. */
+  /** Sends a notification, which is not answered. */
   notify(method: string, parameters: object): void;
-  /** Names the listener of a notification. */
+  /** Sets the listener of a notification. */
   onNotification(method: string, listener: NotificationListener): void;
-  /** Settles with the reason when the connection ends. */
+  /** Settles with the reason when the connection is closed. */
   readonly closed: Future<string>;
   close(reason: string): void;
-  /** Monotonic time of the last message that arrived. */
+  /** Monotonic time of the last received message. */
   lastHeardAt(): Milliseconds;
-  /** Requests without an answer so far. */
+  /** Number of requests waiting for an answer. */
   pendingRequests(): number;
 }
 
-/** What a peer is made of. */
+/** Dependencies of a peer. */
 export interface RpcPeerOptions {
   readonly connection: Connection;
   readonly timer: TimerService;
-  /** Methods that this end serves; none by default. */
+  /** Handlers of the methods that this end serves; none by default. */
   readonly handlers?: HandlerTable;
 }
 
-interface Pending {
-  /** Checks the answer and settles the request. */
-  readonly conclude: (result: Result<unknown, RequestFailure>) => void;
+interface PendingRequest {
+  /** Validates the answer and settles the request. */
+  readonly complete: (result: Result<unknown, RequestFailure>) => void;
   readonly cancelTimeout: Unsubscribe;
 }
 
-function failed(
+function createRequestFailure(
   kind: RequestFailure['kind'],
   sent: boolean,
   message: string,
@@ -106,14 +106,20 @@
   const checked = method.result.safeParse(result.val);
   return checked.success
     ? Ok(checked.data)
-    : Err(failed('malformed', true, `Bad answer to ${method.name}.`));
+    : Err(
+        createRequestFailure(
+          'malformed',
+          true,
+          `Bad answer to ${method.name}.`,
+        ),
+      );
 }
 
-/** Puts JSON-RPC on a connection. */
+/** Creates a JSON-RPC peer on a connection. */
 export function createRpcPeer(options: RpcPeerOptions): RpcPeer {
   const {connection, timer} = options;
   const handlers = options.handlers ?? createHandlerTable();
-  const pending = new Map<number, Pending>();
+  const pending = new Map<number, PendingRequest>();
   const notificationListeners = new Map<string, NotificationListener>();
   const closed = createDeferred<string>();
   let nextId = 1;
@@ -125,15 +131,20 @@
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>> {
     if (closed.future.isSettled()) {
-      return settledFuture(Err(failed('closed', false, 'Connection ended.')));
+      return settledFuture(
+        Err(createRequestFailure('closed', false, 'Connection ended.')),
+      );
     }
     const id = nextId++;
     const deferred = createDeferred<Result<R, RequestFailure>>();
     const cancelTimeout = timer.after(timeout, () =>
-      settle(id, Err(failed('timeout', true, `${method.name} timed out.`))),
+      settle(
+        id,
+        Err(createRequestFailure('timeout', true, `${method.name} timed out.`)),
+      ),
     );
     pending.set(id, {
-      conclude: result => deferred.settle(parseResult(method, result)),
+      complete: result => deferred.settle(parseResult(method, result)),
       cancelTimeout,
     });
     connection.send(createJSONRPCRequest(id, method.name, parameters));
@@ -147,10 +158,10 @@
     }
     pending.delete(id);
     entry.cancelTimeout();
-    entry.conclude(result);
+    entry.complete(result);
   }
 
-  function acceptResponse(response: JSONRPCResponse): void {
+  function handleResponse(response: JSONRPCResponse): void {
     if (typeof response.id !== 'number') {
       return;
     }
@@ -162,7 +173,7 @@
     settle(response.id, Err({kind: 'refused', sent: true, failure}));
   }
 
-  function serve(message: JSONRPCRequest): void {
+  function handleRequest(message: JSONRPCRequest): void {
     const {id} = message;
     if (id === undefined || id === null) {
       notificationListeners.get(message.method)?.(message.params);
@@ -180,9 +191,9 @@
   function onMessage(message: unknown): void {
     lastHeard = timer.now();
     if (isJSONRPCResponse(message)) {
-      acceptResponse(message);
+      handleResponse(message);
     } else if (isJSONRPCRequest(message)) {
-      serve(message);
+      handleRequest(message);
     } else {
       connection.close('not a JSON-RPC message');
     }
@@ -191,7 +202,12 @@
   function onClose(reason: string): void {
     closed.settle(reason);
     for (const id of [...pending.keys()]) {
-      settle(id, Err(failed('closed', true, `Connection ended: ${reason}.`)));
+      settle(
+        id,
+        Err(
+          createRequestFailure('closed', true, `Connection ended: ${reason}.`),
+        ),
+      );
     }
   }
 
--- a/packages/rpc/src/peer_links.ts
+++ b/packages/rpc/src/peer_links.ts
@@ -1,4 +1,4 @@
-/** Connections to other proxies, opened when they are needed. */
+/** Connections to other proxies, opened on demand. */
 import {Method, createFailure} from '@kelpstep/protocol';
 import {
   Future,
@@ -13,7 +13,7 @@
 
 /** Sends requests to other proxies by their address. */
 export interface PeerLinks {
-  /** The connection to a proxy; opened if there is none. */
+  /** Returns the connection to a proxy, opening one if necessary. */
   connect(
     address: Address,
     timeout: Milliseconds,
@@ -24,16 +24,16 @@
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
-  /** Open connections. */
+  /** Number of connections, including those being opened. */
   size(): number;
   close(): void;
 }
 
-/** What peer links are made of. */
+/** Dependencies and settings of peer links. */
 export interface PeerLinksOptions {
   readonly transport: Transport;
   readonly timer: TimerService;
-  /** A connection that is not used for so long is closed. */
+  /** Time without requests after which a connection is closed. */
   readonly idleTime?: Milliseconds;
 }
 
@@ -42,10 +42,10 @@
   lastUsed: Milliseconds;
 }
 
-const DEFAULT_IDLE_TIME: Milliseconds = 30_000;
-const CLOSED_BY_US = 'no longer used';
+const DEFAULT_IDLE_TIME_MS: Milliseconds = 30_000;
+const IDLE_CLOSE_REASON = 'no longer used';
 
-function notSent(error: TransportError): RequestFailure {
+function createNotSentFailure(error: TransportError): RequestFailure {
   const {message} = error;
   const failure = createFailure('OUTCOME_UNKNOWN', {
     message,
@@ -54,10 +54,10 @@
   return {kind: 'closed', sent: false, failure};
 }
 
-/** Creates links without connections. */
+/** Creates peer links without open connections. */
 export function createPeerLinks(options: PeerLinksOptions): PeerLinks {
   const {transport, timer} = options;
-  const idleTime = options.idleTime ?? DEFAULT_IDLE_TIME;
+  const idleTime = options.idleTime ?? DEFAULT_IDLE_TIME_MS;
   const links = new Map<Address, Link>();
 
   function open(address: Address, timeout: Milliseconds): Link {
@@ -66,7 +66,7 @@
     links.set(address, link);
     transport.dial(address, timeout).onSettled(dialled => {
       if (dialled.err) {
-        forget(address, link);
+        removeLink(address, link);
       }
       opened.settle(
         dialled.map(connection => createRpcPeer({connection, timer})),
@@ -74,20 +74,20 @@
     });
     opened.future.onSettled(result => {
       if (result.ok) {
-        result.val.closed.onSettled(() => forget(address, link));
+        result.val.closed.onSettled(() => removeLink(address, link));
       }
     });
     return link;
   }
 
-  function forget(address: Address, link: Link): void {
+  function removeLink(address: Address, link: Link): void {
     if (links.get(address) === link) {
       links.delete(address);
     }
   }
 
-  /** A silent connection is dropped: the next request opens a fresh one. */
-  function dropIfSilent(peer: RpcPeer, since: Milliseconds): void {
+  /** Closes an unresponsive connection; the next request opens a new one. */
+  function closeIfUnresponsive(peer: RpcPeer, since: Milliseconds): void {
     if (peer.lastHeardAt() < since) {
       peer.close('silent');
     }
@@ -112,14 +112,14 @@
     const startedAt = timer.now();
     connect(address, timeout).onSettled(opened => {
       if (opened.err) {
-        reply.settle(Err(notSent(opened.val)));
+        reply.settle(Err(createNotSentFailure(opened.val)));
         return;
       }
       const peer = opened.val;
-      const left = Math.max(0, startedAt + timeout - timer.now());
-      peer.request(method, parameters, left).onSettled(result => {
+      const remainingTime = Math.max(0, startedAt + timeout - timer.now());
+      peer.request(method, parameters, remainingTime).onSettled(result => {
         if (result.err && result.val.kind === 'timeout') {
-          dropIfSilent(peer, startedAt);
+          closeIfUnresponsive(peer, startedAt);
         }
         reply.settle(result);
       });
@@ -135,23 +135,23 @@
     });
   }
 
-  function closeUnused(): void {
-    const limit = timer.now() - idleTime;
+  function closeIdleLinks(): void {
+    const oldestUse = timer.now() - idleTime;
     for (const [address, link] of [...links]) {
-      if (link.lastUsed < limit) {
-        forget(address, link);
-        closeLink(link, CLOSED_BY_US);
+      if (link.lastUsed < oldestUse) {
+        removeLink(address, link);
+        closeLink(link, IDLE_CLOSE_REASON);
       }
     }
   }
 
-  const stopClosing = timer.every(idleTime, closeUnused);
+  const cancelIdleCheck = timer.every(idleTime, closeIdleLinks);
   return {
     connect,
     request,
     size: () => links.size,
     close() {
-      stopClosing();
+      cancelIdleCheck();
       for (const link of [...links.values()]) {
         closeLink(link, 'proxy stops');
       }
--- a/packages/rpc/src/tcp_transport.ts
+++ b/packages/rpc/src/tcp_transport.ts
@@ -1,4 +1,4 @@
-/** The transport over TCP: each JSON value is a line. */
+/** Transport over TCP, with one JSON value per line. */
 import {Deferred, createDeferred} from '@kelpstep/runtime';
 import {createServer, connect, type Server, type Socket} from 'node:net';
 import {Err, Ok, Result} from 'ts-results';
@@ -12,25 +12,25 @@
   TransportError,
 } from './transport';
 
-/** Longest line that is read by default, in bytes. */
+/** Default of the longest line that is accepted, in bytes. */
 export const DEFAULT_MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
 /** Settings of the TCP transport. */
 export interface TcpTransportOptions {
-  /** A connection with a longer line is closed. */
+  /** Connections that receive a longer line are closed. */
   readonly maximumFrameBytes?: number;
 }
 
-/** A transport whose sockets can all be ended, to let the process exit. */
+/** A transport that can close all its sockets to let the process exit. */
 export interface TcpTransport extends Transport {
   /**
-   * Ends every connection and every dial on its way. A task that was cancelled
-   * while it dialled has nobody left to close what it opened.
+   * Closes all connections and pending dials. Nothing else closes a connection
+   * whose task was cancelled while dialling.
    */
   close(): void;
 }
 
-/** Splits `ip:port`. */
+/** Parses `ip:port`. */
 export function parseAddress(address: Address): {host: string; port: number} {
   const colon = address.lastIndexOf(':');
   return {
@@ -41,7 +41,7 @@
 
 const LINE_FEED = 0x0a;
 
-/** Cuts a byte stream into lines; undefined once a line is too long. */
+/** Splits a byte stream into lines; `undefined` if a line is too long. */
 function createLineSplitter(maximumBytes: number) {
   let chunks: Buffer[] = [];
   let pendingBytes = 0;
@@ -51,9 +51,9 @@
     let start = 0;
     let end = chunk.indexOf(LINE_FEED);
     while (end >= 0) {
-      const tail = chunk.subarray(start, end);
+      const lineEnd = chunk.subarray(start, end);
       const line =
-        chunks.length === 0 ? tail : Buffer.concat([...chunks, tail]);
+        chunks.length === 0 ? lineEnd : Buffer.concat([...chunks, lineEnd]);
       chunks = [];
       pendingBytes = 0;
       lines.push(line.toString('utf8'));
@@ -81,12 +81,12 @@
   socket: Socket,
   maximumFrameBytes: number,
 ): Connection {
-  const split = createLineSplitter(maximumFrameBytes);
-  const early: unknown[] = [];
+  const splitLines = createLineSplitter(maximumFrameBytes);
+  const earlyMessages: unknown[] = [];
   let listener: ConnectionListener | undefined;
   let closeReason: string | undefined;
 
-  // Messages of one turn of the event loop leave in one packet.
+  // Messages of one turn of the event loop are sent in one packet.
   let outgoing = '';
 
   function flush(): void {
@@ -121,7 +121,7 @@
     if (message.err) {
       end('not JSON');
     } else if (listener === undefined) {
-      early.push(message.val);
+      earlyMessages.push(message.val);
     } else {
       listener.onMessage(message.val);
     }
@@ -129,7 +129,7 @@
 
   socket.setNoDelay(true);
   socket.on('data', chunk => {
-    const lines = split(chunk);
+    const lines = splitLines(chunk);
     if (lines === undefined) {
       end('frame too large');
       return;
@@ -154,7 +154,7 @@
     },
     listen(newListener) {
       listener = newListener;
-      for (const message of early.splice(0)) {
+      for (const message of earlyMessages.splice(0)) {
         listener.onMessage(message);
       }
       if (closeReason !== undefined) {
@@ -164,17 +164,17 @@
   };
 }
 
-function dialError(error: NodeJS.ErrnoException): TransportError {
+function createDialError(error: NodeJS.ErrnoException): TransportError {
   const kind = error.code === 'ECONNREFUSED' ? 'refused' : 'unreachable';
   return {kind, message: error.message};
 }
 
-function listenError(error: NodeJS.ErrnoException): TransportError {
+function createListenError(error: NodeJS.ErrnoException): TransportError {
   const kind = error.code === 'EADDRINUSE' ? 'address-in-use' : 'unreachable';
   return {kind, message: error.message};
 }
 
-/** Creates the transport that daemons use. */
+/** Creates the transport for daemons. */
 export function createTcpTransport(
   options: TcpTransportOptions = {},
 ): TcpTransport {
@@ -182,7 +182,7 @@
     options.maximumFrameBytes ?? DEFAULT_MAXIMUM_FRAME_BYTES;
   const sockets = new Set<Socket>();
 
-  function keep(socket: Socket): void {
+  function trackSocket(socket: Socket): void {
     sockets.add(socket);
     socket.once('close', () => sockets.delete(socket));
   }
@@ -190,14 +190,14 @@
   function dial(address: Address, timeout: number) {
     const deferred = createDeferred<Result<Connection, TransportError>>();
     const socket = connect(parseAddress(address));
-    keep(socket);
+    trackSocket(socket);
     socket.setTimeout(timeout, () => {
       deferred.settle(
         Err({kind: 'timeout', message: 'No connection in time.'}),
       );
       socket.destroy();
     });
-    socket.once('error', error => deferred.settle(Err(dialError(error))));
+    socket.once('error', error => deferred.settle(Err(createDialError(error))));
     socket.once('connect', () => {
       socket.setTimeout(0);
       deferred.settle(Ok(createTcpConnection(socket, maximumFrameBytes)));
@@ -208,10 +208,12 @@
   function listen(address: Address, accept: (connection: Connection) => void) {
     const deferred = createDeferred<Result<Listener, TransportError>>();
     const server = createServer(socket => {
-      keep(socket);
+      trackSocket(socket);
       accept(createTcpConnection(socket, maximumFrameBytes));
     });
-    server.once('error', error => deferred.settle(Err(listenError(error))));
+    server.once('error', error =>
+      deferred.settle(Err(createListenError(error))),
+    );
     startListening(server, address, deferred);
     return deferred.future;
   }
--- a/packages/rpc/src/transport.ts
+++ b/packages/rpc/src/transport.ts
@@ -1,45 +1,45 @@
-/** What a channel needs of the network, so that tests can pass a fake. */
+/** The network interface of peers, which tests replace with a fake. */
 import {Future} from '@kelpstep/runtime';
 import {Result} from 'ts-results';
 
-/** Where a process listens: `ip:port`. */
+/** Address of a listening process, `ip:port`. */
 export type Address = string;
 
-/** Why a connection could not be opened or listened for. */
+/** Why dialling or listening failed. */
 export interface TransportError {
   readonly kind: 'refused' | 'timeout' | 'unreachable' | 'address-in-use';
   readonly message: string;
 }
 
-/** What a connection tells its user. */
+/** Callbacks of a connection. */
 export interface ConnectionListener {
-  /** One JSON value arrived. */
+  /** Called with each received JSON value. */
   onMessage(message: unknown): void;
-  /** The connection ended, by either side; called once, nothing after it. */
+  /** Called once, after all messages, when either end closes the connection. */
   onClose(reason: string): void;
 }
 
-/** An open connection that carries JSON values in order, or ends. */
+/** A connection that delivers JSON values in order until it is closed. */
 export interface Connection {
   readonly remoteAddress: Address;
-  /** Sends a JSON value. Dropped without a word once the connection ended. */
+  /** Sends a JSON value; silently ignored once the connection is closed. */
   send(message: object): void;
-  /** Ends the connection; `onClose` follows. */
+  /** Closes the connection; `onClose` is called. */
   close(reason: string): void;
-  /** Names the one listener; messages before that are kept for it. */
+  /** Sets the only listener; earlier messages are buffered for it. */
   listen(listener: ConnectionListener): void;
 }
 
 /** A listening port. */
 export interface Listener {
   readonly address: Address;
-  /** Stops accepting; open connections stay. */
+  /** Stops accepting connections; open ones remain. */
   close(): void;
 }
 
-/** The network. */
+/** Opens and accepts connections. */
 export interface Transport {
-  /** Opens a connection within a time, milliseconds. */
+  /** Opens a connection; `timeout` is in milliseconds. */
   dial(
     address: Address,
     timeout: number,
