--- a/packages/observability/__tests__/audit_trail.spec.ts
+++ b/packages/observability/__tests__/audit_trail.spec.ts
@@ -83,7 +83,7 @@
     );
   });
 
-  test('keeps changes while the platform is out, and counts the lost', () => {
+  test('buffers changes during a platform outage and counts dropped ones', () => {
     const {trail, timer, state} = startTrail(10);
     state.fault = 'down';
     trail.record(change('first'));
@@ -101,7 +101,7 @@
     expect(trail.flushed().isSettled()).toEqual(true);
   });
 
-  test('stores a change once though the answer is lost', () => {
+  test('stores a change only once if the answer is lost', () => {
     const {trail, timer, state} = startTrail();
     state.fault = 'answers-lost';
     trail.record(change('2'));
@@ -110,7 +110,7 @@
     expect(trail.pending()).toEqual(0);
   });
 
-  test('is read page by page', () => {
+  test('is listed page by page', () => {
     const {trail, timer} = startTrail();
     for (const to of ['2', '3', '4']) {
       trail.record(change(to));
--- a/packages/observability/__tests__/largest_counts.spec.ts
+++ b/packages/observability/__tests__/largest_counts.spec.ts
@@ -4,7 +4,7 @@
 import {createLargestCounts} from '..';
 
 describe('counts by name', () => {
-  test('tell the largest, and the rest together', () => {
+  test('list the largest and the sum of the others', () => {
     const counts = createLargestCounts(2);
     [...'aabbbcd'].forEach(name => counts.add(name));
     expect(counts.list()).toEqual([
@@ -14,7 +14,7 @@
     ]);
   });
 
-  test('have no rest where all are told', () => {
+  test('have no sum of others if all names are listed', () => {
     const counts = createLargestCounts(2);
     counts.add('a');
     expect(counts.list()).toEqual([{name: 'a', count: 1}]);
--- a/packages/observability/__tests__/logger.spec.ts
+++ b/packages/observability/__tests__/logger.spec.ts
@@ -5,7 +5,7 @@
 
 import {LogLevel, createLogger, enableLogs} from '..';
 
-function logAll(lowest: LogLevel, debugVariable?: string): unknown[] {
+function logAtAllLevels(lowest: LogLevel, debugVariable?: string): unknown[] {
   const lines: string[] = [];
   enableLogs(lowest, debugVariable);
   const logger = createLogger({
@@ -22,8 +22,8 @@
 }
 
 describe('a logger', () => {
-  test('writes a JSON object a line, with time, level, part and event', () => {
-    expect(logAll('info')).toEqual([
+  test('writes a JSON object per line, with time, level, part and event', () => {
+    expect(logAtAllLevels('info')).toEqual([
       {
         time: '2026-01-01T00:00:00.000Z',
         level: 'info',
@@ -44,12 +44,12 @@
     ]);
   });
 
-  test('leaves out what lies below the level', () => {
-    expect(logAll('error').length).toEqual(1);
-    expect(logAll('debug').length).toEqual(3);
+  test('omits lines below the level', () => {
+    expect(logAtAllLevels('error').length).toEqual(1);
+    expect(logAtAllLevels('debug').length).toEqual(3);
   });
 
-  test('obeys the DEBUG variable before the level', () => {
-    expect(logAll('error', 'kelpstep:proxy:*').length).toEqual(2);
+  test('prefers the DEBUG variable to the level', () => {
+    expect(logAtAllLevels('error', 'kelpstep:proxy:*').length).toEqual(2);
   });
 });
--- a/packages/observability/__tests__/metrics.spec.ts
+++ b/packages/observability/__tests__/metrics.spec.ts
@@ -24,7 +24,7 @@
     );
   });
 
-  test('are rendered as the text format has it, once per family', () => {
+  test('are rendered in the text format with one type line per family', () => {
     const registry = createMetricsRegistry();
     const metrics = createProxyMetrics(registry);
     metrics.failoverEnded('odd "name"\\\n', 800);
@@ -40,7 +40,7 @@
     expect(samples).toInclude('kelpstep_queue{target="d1"} 3');
   });
 
-  test('tell percentiles within one per cent', () => {
+  test('give percentiles to within one per cent', () => {
     const summary = createMetricsRegistry().summary('s', 'S.');
     for (let value = 1; value <= 1000; value++) {
       summary.record(value);
--- a/packages/observability/__tests__/request_summary.spec.ts
+++ b/packages/observability/__tests__/request_summary.spec.ts
@@ -17,7 +17,7 @@
 }
 
 describe('a summary of ended requests', () => {
-  test('counts those of a second that ended alike', () => {
+  test('counts requests of a second with the same outcome', () => {
     const lines = [
       `  35.1 front-1 ${ended('2026-12-03T04:05:06.100Z', 'a', 100)}`,
       ended('2026-12-03T04:05:06.900Z', 'b', 300),
@@ -40,7 +40,7 @@
     ]);
   });
 
-  test('passes over what tells of no request', () => {
+  test('ignores lines that are not about a request', () => {
     const lines = ['no line of a log', '{"event":"started"}', '{broken'];
     expect(summarizeRequests(lines)).toEqual([]);
   });
--- a/packages/observability/src/audit_trail.ts
+++ b/packages/observability/src/audit_trail.ts
@@ -1,7 +1,7 @@
 /**
- * The trail of changes, kept in the platform's table service. Entries wait in
- * memory while the platform is out, up to a bound; they leave in batches, one
- * row a batch, so that the platform gets few writes.
+ * The audit trail, stored in the platform's table service. Entries are buffered
+ * in memory, up to a limit while the platform is unavailable, and written in
+ * batches of one row each to keep the number of writes low.
  */
 import type {PlatformClient, PlatformReply} from '@kelpstep/platform';
 import {ListedRow, TABLES} from '@kelpstep/protocol';
@@ -20,11 +20,11 @@
 } from '@kelpstep/runtime';
 import {z} from 'zod';
 
-/** A change: who changed what, from which value to which. */
+/** A change: who changed what, with the old and the new value. */
 export const auditChangeSchema = z.strictObject({
-  /** Operator, or the proxy's part that decided. */
+  /** The operator, or the component of the proxy that made the change. */
   who: z.string(),
-  /** For example `manifest` or `primary of handbook-1`. */
+  /** What was changed, for example `manifest` or `primary of handbook-1`. */
   what: z.string(),
   from: z.string(),
   to: z.string(),
@@ -41,64 +41,67 @@
 });
 export type AuditEntry = z.infer<typeof auditEntrySchema>;
 
-/** A row of the audit table. */
+/** Value of a row of the audit table. */
 const auditBatchSchema = z.strictObject({
   entries: z.array(auditEntrySchema),
-  /** Entries that this proxy had to drop before these. */
+  /** Number of entries that this proxy dropped before these. */
   dropped: z.number().int().nonnegative(),
 });
 
-/** Some entries, and where to go on. */
+/** A page of entries. */
 export const auditPageSchema = z.strictObject({
   entries: z.array(auditEntrySchema),
-  /** Entries that proxies dropped while the platform was out. */
+  /** Number of entries that proxies dropped during platform outages. */
   dropped: z.number().int().nonnegative(),
-  /** Pass as `after` to read on; absent at the end. */
+  /** Value of `after` for the next page; absent on the last page. */
   next: z.string().optional(),
 });
 export type AuditPage = z.infer<typeof auditPageSchema>;
 
-/** Records and reads changes. */
+/** Records and lists changes. */
 export interface AuditTrail {
-  /** Records a change; never waits. */
+  /** Records a change without waiting for the platform. */
   record(change: AuditChange): void;
-  /** Entries that are not in the platform yet. */
+  /** Number of entries that are not stored yet. */
   pending(): number;
-  /** Entries given up because too many waited. */
+  /** Number of entries dropped because the buffer was full. */
   dropped(): number;
-  /** Settles when nothing is pending any more. */
+  /** Settles when all pending entries are stored. */
   flushed(): Future<undefined>;
-  /** Reads rows after a key (a page's `next`, or `auditKeyAt`). */
+  /** Lists rows after a key, which is a page's `next` or from `auditKeyAt`. */
   list(after: string, limit: number): PlatformReply<AuditPage>;
 }
 
-/** What an audit trail is made of. */
+/** Dependencies and settings of an audit trail. */
 export interface AuditTrailOptions {
   readonly platform: PlatformClient;
   readonly runtime: Runtime;
   /** Proxy id. */
   readonly proxy: string;
-  /** Tells two processes of the same proxy id apart. */
+  /** Distinguishes processes that have used the same proxy id. */
   readonly incarnation: string;
-  /** Entries kept while the platform is out. */
+  /** Maximum number of buffered entries, besides the batch being written. */
   readonly capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 1000;
 const BATCH_SIZE = 50;
-const BATCH_DELAY: Milliseconds = 200;
-const FIRST_RETRY_DELAY: Milliseconds = 500;
-const LONGEST_RETRY_DELAY: Milliseconds = 10_000;
-const RETRY_JITTER = 0.3;
-const TIME_DIGITS = 15;
+const BATCH_DELAY_MS: Milliseconds = 200;
+const INITIAL_RETRY_DELAY_MS: Milliseconds = 500;
+const MAXIMUM_RETRY_DELAY_MS: Milliseconds = 10_000;
+const RETRY_JITTER_RATIO = 0.3;
+const TIMESTAMP_DIGITS = 15;
 
-/** The key before all entries that were stored at or after a wall clock. */
+/** Returns the key before all entries stored at or after a wall-clock time. */
 export function auditKeyAt(wallClock: Milliseconds): string {
-  return String(Math.max(0, Math.floor(wallClock))).padStart(TIME_DIGITS, '0');
+  return String(Math.max(0, Math.floor(wallClock))).padStart(
+    TIMESTAMP_DIGITS,
+    '0',
+  );
 }
 
-function pageOf(rows: readonly ListedRow[], limit: number): AuditPage {
-  // A row of another format is left out: one bad row must not hide the rest.
+function createPage(rows: readonly ListedRow[], limit: number): AuditPage {
+  // Skips rows of another format, so that an invalid row does not hide others.
   const batches = rows
     .map(row => auditBatchSchema.safeParse(row.value))
     .filter(batch => batch.success)
@@ -116,23 +119,23 @@
   const {platform, runtime, proxy, incarnation} = options;
   const capacity = options.capacity ?? DEFAULT_CAPACITY;
   const {timer} = runtime;
-  const wake = createMailbox<undefined>();
-  const waiting: AuditEntry[] = [];
-  let storing = 0;
-  let droppedEntries = 0;
-  let droppedUnreported = 0;
+  const wakeSignal = createMailbox<undefined>();
+  const pendingEntries: AuditEntry[] = [];
+  let storingCount = 0;
+  let droppedCount = 0;
+  let unreportedDroppedCount = 0;
   let rowsWritten = 0;
   let idle = createDeferred<undefined>();
 
   function record(change: AuditChange): void {
-    if (waiting.length >= capacity) {
-      waiting.shift();
-      droppedEntries++;
-      droppedUnreported++;
+    if (pendingEntries.length >= capacity) {
+      pendingEntries.shift();
+      droppedCount++;
+      unreportedDroppedCount++;
     }
-    waiting.push({...change, when: timer.wallClock(), proxy});
-    if (wake.size() === 0) {
-      wake.post(undefined);
+    pendingEntries.push({...change, when: timer.wallClock(), proxy});
+    if (wakeSignal.size() === 0) {
+      wakeSignal.post(undefined);
     }
   }
 
@@ -142,12 +145,12 @@
     return `${auditKeyAt(timer.wallClock())}-${proxy}-${incarnation}-${order}`;
   }
 
-  /** A conflict means that an earlier attempt took effect: keys are unique. */
+  /** Keys are unique, so a conflict shows that an earlier attempt succeeded. */
   function* storeBatch(entries: readonly AuditEntry[]): Task<void> {
     const key = nextKey();
-    const dropped = droppedUnreported;
-    droppedUnreported = 0;
-    let retryDelay = FIRST_RETRY_DELAY;
+    const dropped = unreportedDroppedCount;
+    unreportedDroppedCount = 0;
+    let retryDelay = INITIAL_RETRY_DELAY_MS;
     for (;;) {
       const written = yield* waitFor(
         platform.writeRow(TABLES.audit, key, 0, {entries, dropped}),
@@ -155,38 +158,38 @@
       if (written.ok || written.val.name === 'VERSION_CONFLICT') {
         return;
       }
-      yield* sleep(runtime.random.jitter(retryDelay, RETRY_JITTER));
-      retryDelay = Math.min(2 * retryDelay, LONGEST_RETRY_DELAY);
+      yield* sleep(runtime.random.jitter(retryDelay, RETRY_JITTER_RATIO));
+      retryDelay = Math.min(2 * retryDelay, MAXIMUM_RETRY_DELAY_MS);
     }
   }
 
   function* storeEntries(): Task<void> {
     for (;;) {
-      yield* receive(wake);
-      yield* sleep(BATCH_DELAY);
-      while (waiting.length > 0) {
-        const batch = waiting.splice(0, BATCH_SIZE);
-        storing = batch.length;
+      yield* receive(wakeSignal);
+      yield* sleep(BATCH_DELAY_MS);
+      while (pendingEntries.length > 0) {
+        const batch = pendingEntries.splice(0, BATCH_SIZE);
+        storingCount = batch.length;
         yield* storeBatch(batch);
-        storing = 0;
+        storingCount = 0;
       }
-      const stored = idle;
+      const previousIdle = idle;
       idle = createDeferred();
-      stored.settle(undefined);
+      previousIdle.settle(undefined);
     }
   }
 
   runtime.spawn('audit-trail', storeEntries());
 
-  const pending = () => waiting.length + storing;
+  const pending = () => pendingEntries.length + storingCount;
   return {
     record,
     pending,
-    dropped: () => droppedEntries,
+    dropped: () => droppedCount,
     flushed: () => (pending() === 0 ? settledFuture(undefined) : idle.future),
     list: (after, limit) =>
       mapFuture(platform.listRows(TABLES.audit, after, limit), listed =>
-        listed.map(rows => pageOf(rows, limit)),
+        listed.map(rows => createPage(rows, limit)),
       ),
   };
 }
--- a/packages/observability/src/largest_counts.ts
+++ b/packages/observability/src/largest_counts.ts
@@ -1,8 +1,8 @@
-/** Counts by name of which only the largest are told, so that labels stay few. */
+/** Counts by name. Only the largest are listed, which limits label values. */
 
-/** A count of one name, or of all others together. */
+/** The count of a name, or the sum of all other names. */
 export interface NamedCount {
-  /** Undefined: the others. */
+  /** `undefined` for the sum of the others. */
   readonly name: string | undefined;
   readonly count: number;
 }
@@ -10,12 +10,12 @@
 /** Counts by name. */
 export interface LargestCounts {
   add(name: string): void;
-  /** The largest first; the rest as one, if there is any. */
+  /** The largest counts in descending order, then the sum of the others. */
   list(): NamedCount[];
 }
 
-/** Creates counts that tell at most so many names. */
-export function createLargestCounts(most: number): LargestCounts {
+/** Creates counts of which at most `maximumNames` are listed by name. */
+export function createLargestCounts(maximumNames: number): LargestCounts {
   const counts = new Map<string, number>();
 
   return {
@@ -24,9 +24,11 @@
       const sorted = [...counts]
         .map(([name, count]) => ({name, count}))
         .sort((left, right) => right.count - left.count);
-      const rest = sorted.slice(most).reduce((sum, {count}) => sum + count, 0);
+      const rest = sorted
+        .slice(maximumNames)
+        .reduce((sum, {count}) => sum + count, 0);
       const others = rest > 0 ? [{name: undefined, count: rest}] : [];
-      return [...sorted.slice(0, most), ...others];
+      return [...sorted.slice(0, maximumNames), ...others];
     },
   };
 }
--- a/packages/observability/src/logger.ts
+++ b/packages/observability/src/logger.ts
@@ -1,16 +1,16 @@
 /**
- * Logs as JSON lines through `debug`. The fields of a line are a closed list,
- * so that no statement parameter and no token gets into a log by accident.
+ * JSON-line logs through `debug`. Only fields of a fixed list can be logged, so
+ * that statement parameters and tokens do not get into logs by accident.
  */
 import type {TimerService} from '@kelpstep/runtime';
 import createDebug from 'debug';
 import {format} from 'node:util';
 
-/** Levels, the most talkative first. */
+/** Log levels, the most verbose first. */
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** What a log line may hold besides time, level, part and event. */
+/** Fields of a log line besides time, level, proxy, part and event. */
 export interface LogFields {
   readonly requestId?: string;
   readonly method?: string;
@@ -23,18 +23,18 @@
   readonly address?: string;
   readonly term?: number;
   readonly version?: number;
-  /** Version that was known before. */
+  /** The previously known version. */
   readonly known?: number;
   readonly count?: number;
   readonly milliseconds?: number;
-  /** Targets that were tried. */
+  /** Number of targets tried. */
   readonly attempts?: number;
   /** Log position, `term.position`. */
   readonly position?: string;
   readonly epoch?: number;
   readonly step?: string;
   readonly reason?: string;
-  /** Text for people, without anything that a caller sent. */
+  /** Human-readable text, without data that a caller sent. */
   readonly message?: string;
 }
 
@@ -44,20 +44,20 @@
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** True if lines of the lowest level are written; to save making them. */
+  /** True if debug lines are written; allows to skip preparing their fields. */
   isDebugEnabled(): boolean;
-  /** A logger for another part. */
+  /** Creates a logger for another part. */
   forPart(part: string): Logger;
 }
 
-/** Takes a finished line without its line feed. */
+/** Writes a formatted line, passed without a line feed. */
 export type LineWriter = (line: string) => void;
 
-/** What a logger is made of. */
+/** Dependencies and settings of a logger. */
 export interface LoggerOptions {
   /** Part of the process, for example `proxy`. */
   readonly part: string;
-  /** Proxy id, in every line. */
+  /** Proxy id, included in every line. */
   readonly proxy: string;
   readonly timer: TimerService;
   /** Standard error by default. */
@@ -70,7 +70,7 @@
   process.stderr.write(line + '\n');
 }
 
-/** Lines of other libraries are wrapped, so that all lines are JSON. */
+/** Converts the lines of other libraries to JSON objects as well. */
 function formatArguments(this: createDebug.Debugger, values: unknown[]): void {
   const line = this.namespace.startsWith(`${ROOT_NAMESPACE}:`)
     ? String(values[0])
@@ -78,7 +78,7 @@
   values.splice(0, values.length, line);
 }
 
-/** Namespaces of `debug` for all lines from a level upwards. */
+/** Returns the `debug` namespaces of a level and all more severe ones. */
 export function logNamespaces(lowest: LogLevel): string {
   return LOG_LEVELS.slice(LOG_LEVELS.indexOf(lowest))
     .map(level => `${ROOT_NAMESPACE}:*:${level}`)
@@ -86,8 +86,8 @@
 }
 
 /**
- * Chooses what is logged: the `DEBUG` variable if it is set, for example
- * `kelpstep:proxy:*`, else all from a level upwards.
+ * Selects the lines to log: by the value of the `DEBUG` variable if it is set,
+ * for example `kelpstep:proxy:*`, otherwise by the least severe level.
  */
 export function enableLogs(lowest: LogLevel, debugVariable?: string): void {
   createDebug.formatArgs = formatArguments;
@@ -99,13 +99,13 @@
   const {part, proxy, timer} = options;
   const writeLine = options.writeLine ?? writeToStandardError;
 
-  function createLevel(level: LogLevel): createDebug.Debugger {
+  function createLevelLogger(level: LogLevel): createDebug.Debugger {
     const log = createDebug(`${ROOT_NAMESPACE}:${part}:${level}`);
     log.log = (line: string) => writeLine(line);
     return log;
   }
 
-  function createWriter(level: LogLevel, log = createLevel(level)) {
+  function createLevelWriter(level: LogLevel, log = createLevelLogger(level)) {
     return (event: string, fields?: LogFields) => {
       if (log.enabled) {
         const time = new Date(timer.wallClock()).toISOString();
@@ -118,18 +118,18 @@
     };
   }
 
-  const debug = createLevel('debug');
+  const debug = createLevelLogger('debug');
   return {
-    debug: createWriter('debug', debug),
-    info: createWriter('info'),
-    warn: createWriter('warn'),
-    error: createWriter('error'),
+    debug: createLevelWriter('debug', debug),
+    info: createLevelWriter('info'),
+    warn: createLevelWriter('warn'),
+    error: createLevelWriter('error'),
     isDebugEnabled: () => debug.enabled,
     forPart: other => createLogger({...options, part: other}),
   };
 }
 
-/** `debug` reads `%%` as a per cent sign. */
+/** Escapes per cent signs, which `debug` interprets as format directives. */
 function escapeDirectives(line: string): string {
   return line.replaceAll('%', '%%');
 }
--- a/packages/observability/src/metrics_registry.ts
+++ b/packages/observability/src/metrics_registry.ts
@@ -1,41 +1,41 @@
 /**
  * Counters, gauges and latency summaries, rendered in the Prometheus text
- * format. Handles are looked up once, so that counting costs an addition.
+ * format. Handles can be kept, so that counting is a single addition.
  */
-// Its main module makes formatters for logs when it loads, at each start.
+// Imported directly: the main module creates log formatters at each start.
 import Histogram from 'hdr-histogram-js/dist/Int32Histogram';
 
 /** Label values by label name. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** A number that only grows. */
+/** A number that only increases. */
 export interface Counter {
   add(amount?: number): void;
   value(): number;
 }
 
-/** Distribution of durations. */
+/** A distribution of durations. */
 export interface Summary {
   /** Records a duration in milliseconds. */
   record(milliseconds: number): void;
   count(): number;
-  /** The duration in milliseconds below which a percentage lies. */
+  /** Returns the duration in milliseconds at a percentile from 0 to 100. */
   percentile(percentage: number): number;
 }
 
-/** One value of a gauge, read when metrics are rendered. */
+/** A value of a gauge, read when the metrics are rendered. */
 export interface GaugeSample {
   readonly labels: Labels;
   readonly value: number;
 }
 
-/** Metrics by name and labels. Asking twice gives the same handle. */
+/** Metrics by name and labels. Equal name and labels give the same handle. */
 export interface MetricsRegistry {
   counter(name: string, help: string, labels?: Labels): Counter;
   summary(name: string, help: string, labels?: Labels): Summary;
-  /** Names the function that is asked for a gauge's values. */
+  /** Sets the function that reads the values of a gauge. */
   gauge(name: string, help: string, read: () => readonly GaugeSample[]): void;
-  /** The text that `/metrics` gives. */
+  /** Renders the text that `/metrics` returns. */
   render(): string;
 }
 
@@ -131,10 +131,14 @@
   const families = new Map<string, Family>();
   const handles = new Map<string, Counter | Summary>();
 
-  function family(name: string, type: Family['type'], help: string): Family {
-    const known = families.get(name);
-    if (known !== undefined) {
-      return known;
+  function getOrCreateFamily(
+    name: string,
+    type: Family['type'],
+    help: string,
+  ): Family {
+    const existing = families.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const created: Family = {type, help, series: new Map()};
     families.set(name, created);
@@ -143,13 +147,13 @@
 
   function counter(name: string, help: string, labels: Labels = {}): Counter {
     const key = name + renderLabels(labels);
-    const known = handles.get(key);
-    if (known !== undefined) {
-      return known as Counter;
+    const existing = handles.get(key);
+    if (existing !== undefined) {
+      return existing as Counter;
     }
     const created = createCounter();
     handles.set(key, created);
-    family(name, 'counter', help).series.set(key, () => [
+    getOrCreateFamily(name, 'counter', help).series.set(key, () => [
       `${key} ${created.value()}`,
     ]);
     return created;
@@ -157,13 +161,13 @@
 
   function summary(name: string, help: string, labels: Labels = {}): Summary {
     const key = name + renderLabels(labels);
-    const known = handles.get(key);
-    if (known !== undefined) {
-      return known as Summary;
+    const existing = handles.get(key);
+    if (existing !== undefined) {
+      return existing as Summary;
     }
     const created = createSummary();
     handles.set(key, created);
-    family(name, 'summary', help).series.set(key, () =>
+    getOrCreateFamily(name, 'summary', help).series.set(key, () =>
       renderSummary(name, labels, created),
     );
     return created;
@@ -174,7 +178,7 @@
     help: string,
     read: () => readonly GaugeSample[],
   ): void {
-    family(name, 'gauge', help).series.set(name, () =>
+    getOrCreateFamily(name, 'gauge', help).series.set(name, () =>
       read().map(
         sample => `${name}${renderLabels(sample.labels)} ${sample.value}`,
       ),
--- a/packages/observability/src/proxy_metrics.ts
+++ b/packages/observability/src/proxy_metrics.ts
@@ -1,13 +1,14 @@
-/** The metrics of a proxy, by what happened. */
+/** The metrics of a proxy, recorded by event. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import {Counter, MetricsRegistry, Summary} from './metrics_registry';
 
-/** What parts of a proxy report. */
+/** Records the events of a proxy in its metrics. */
 export interface ProxyMetrics {
   /**
-   * A request was answered. `outcome` is `ok` or the error's name; kind and
-   * method come from closed lists, so that the number of series is bounded.
+   * Records an answered request. `outcome` is `ok` or the name of the error.
+   * `kind` and `method` come from fixed lists, which bounds the number of
+   * series.
    */
   requestEnded(
     kind: string,
@@ -15,25 +16,29 @@
     outcome: string,
     duration: Milliseconds,
   ): void;
-  /** A read was served by a target of this role. */
+  /** Records a read served by a target of this role. */
   readServed(role: 'primary' | 'replica'): void;
-  /** A request was refused before it reached a method, or for its form. */
+  /** Records a request refused as malformed or before it reached a method. */
   requestRejected(error: string): void;
-  /** Requests were refused for want of room or time. */
+  /** Records a request refused for lack of capacity or time. */
   requestShed(): void;
-  /** Statements were sent again. */
+  /** Records statements that were sent again. */
   requestRetried(times: number): void;
-  /** Writes of a group were impossible for this long. */
+  /** Records a change of primary and the time without writes before it. */
   failoverEnded(group: string, gap: Milliseconds): void;
 }
 
 function createRequestMetrics(registry: MetricsRegistry) {
   const byKind = new Map<string, Map<string, Map<string, Summary>>>();
 
-  function nested<V>(map: Map<string, V>, key: string, create: () => V): V {
-    const known = map.get(key);
-    if (known !== undefined) {
-      return known;
+  function getOrCreate<V>(
+    map: Map<string, V>,
+    key: string,
+    create: () => V,
+  ): V {
+    const existing = map.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = create();
     map.set(key, created);
@@ -41,9 +46,13 @@
   }
 
   return (kind: string, method: string, outcome: string): Summary => {
-    const methods = nested(byKind, kind, () => new Map());
-    const outcomes = nested(methods, method, () => new Map<string, Summary>());
-    return nested(outcomes, outcome, () =>
+    const methods = getOrCreate(byKind, kind, () => new Map());
+    const outcomes = getOrCreate(
+      methods,
+      method,
+      () => new Map<string, Summary>(),
+    );
+    return getOrCreate(outcomes, outcome, () =>
       registry.summary(
         'kelpstep_request_duration_seconds',
         'Time from request to answer.',
--- a/packages/observability/src/request_summary.ts
+++ b/packages/observability/src/request_summary.ts
@@ -1,10 +1,11 @@
 /**
- * Sums up the log lines of ended requests, for who has to find what went wrong and
- * when: how many requests ended how, for which reason, where, second by second.
+ * Summarizes the log lines of ended requests for fault analysis: per second,
+ * the number of requests by outcome, reason and kind, and where most of them
+ * ended.
  */
 import {z} from 'zod';
 
-/** Requests of one second that ended alike. */
+/** Requests of one second with the same outcome, reason and kind. */
 export interface RequestSummaryRow {
   /** Start of the second, ISO 8601 in UTC. */
   readonly second: string;
@@ -13,9 +14,9 @@
   readonly kind: string;
   readonly count: number;
   readonly meanMilliseconds: number;
-  /** Proxy that most of them ended at. */
+  /** Proxy at which most of them ended. */
   readonly proxy: string;
-  /** Target that answered most of them last. */
+  /** Last target of most of them. */
   readonly target: string;
 }
 
@@ -31,22 +32,22 @@
 });
 type EndedRequest = z.infer<typeof lineSchema>;
 
-/** Characters of `2026-12-03T04:05:06`. */
+/** Length of a time to the second, such as `2026-12-03T04:05:06`. */
 const SECOND_LENGTH = 19;
 
-/** A line may begin with what a collector of logs wrote before it. */
-function readLine(line: string): EndedRequest[] {
+/** Parses a log line, which may have a prefix from a log collector. */
+function parseLine(line: string): EndedRequest[] {
   const start = line.indexOf('{');
   try {
     const parsed = lineSchema.safeParse(JSON.parse(line.slice(start)));
     return parsed.success ? [parsed.data] : [];
   } catch {
-    // Output of something else between the lines: it tells of no request.
+    // Not a log line of this project, so no request.
     return [];
   }
 }
 
-function mostFrequent(values: readonly string[]): string {
+function mostFrequentValue(values: readonly string[]): string {
   const counts = new Map<string, number>();
   for (const value of values) {
     counts.set(value, (counts.get(value) ?? 0) + 1);
@@ -70,24 +71,24 @@
       kind,
       count: requests.length,
       meanMilliseconds: Math.round(total / requests.length),
-      proxy: mostFrequent(requests.map(({proxy}) => proxy)),
-      target: mostFrequent(requests.map(({target}) => target)),
+      proxy: mostFrequentValue(requests.map(({proxy}) => proxy)),
+      target: mostFrequentValue(requests.map(({target}) => target)),
     },
   ];
 }
 
-/** Sums up lines of logs; those of other events are passed over. */
+/** Summarizes log lines; lines of other events are ignored. */
 export function summarizeRequests(
   lines: readonly string[],
 ): RequestSummaryRow[] {
-  const alike = new Map<string, EndedRequest[]>();
-  for (const request of lines.flatMap(readLine)) {
+  const requestsByKey = new Map<string, EndedRequest[]>();
+  for (const request of lines.flatMap(parseLine)) {
     const {time, outcome, reason, kind} = request;
     const second = time.slice(0, SECOND_LENGTH);
     const key = [second, outcome, reason, kind].join('\n');
-    alike.set(key, [...(alike.get(key) ?? []), request]);
+    requestsByKey.set(key, [...(requestsByKey.get(key) ?? []), request]);
   }
-  return [...alike]
+  return [...requestsByKey]
     .sort(([left], [right]) => (left < right ? -1 : 1))
     .flatMap(([, requests]) => summarize(requests));
 }
