--- a/packages/protocol/src/peer_messages.ts
+++ b/packages/protocol/src/peer_messages.ts
@@ -71,7 +71,7 @@
   revision: z.number().int().nonnegative().optional(),
   /** True once the sender is stopping. */
   leaving: z.boolean().optional(),
-  /** Updates on proxies, among them the sender's state of the receiver. */
+  /** Updates on proxies, including how the sender sees the receiver. */
   updates: z.array(peerUpdateSchema).optional(),
   /** Updates on leaving targets. */
   leavingTargets: z.array(leavingTargetSchema).optional(),
--- a/packages/protocol/src/platform_messages.ts
+++ b/packages/protocol/src/platform_messages.ts
@@ -16,7 +16,7 @@
 });
 export type ListedRow = z.infer<typeof listedRowSchema>;
 
-/** An entry of the platform's instance list, which lags behind. */
+/** An entry of the platform's instance list, which may be out of date. */
 export const listedInstanceSchema = z.strictObject({
   /** Proxy id or member id. */
   id: z.string(),
--- a/packages/runtime/__tests__/runtime.spec.ts
+++ b/packages/runtime/__tests__/runtime.spec.ts
@@ -143,7 +143,7 @@
     deferred.settle(1);
     let sum = 0;
     runtime.spawn(
-      'summer',
+      'adder',
       (function* () {
         for (let round = 0; round < 100_000; round++) {
           sum += yield* waitFor(deferred.future);
--- a/packages/runtime/__tests__/suspension_detector.spec.ts
+++ b/packages/runtime/__tests__/suspension_detector.spec.ts
@@ -6,15 +6,15 @@
 describe('a suspension of the machine', () => {
   test('is detected as a gap between wall clock and monotonic clock', () => {
     const timer = createVirtualTimer();
-    let slept = 0;
-    const guard = createSuspensionGuard({
+    let suspendedTime = 0;
+    const detector = createSuspensionGuard({
       ...timer,
-      wallClock: () => timer.wallClock() + slept,
+      wallClock: () => timer.wallClock() + suspendedTime,
     });
     timer.advance(5000);
-    expect(guard.hasSlept()).toEqual(false);
-    slept = 3000;
-    expect(guard.hasSlept()).toEqual(true);
-    expect(guard.hasSlept()).toEqual(false);
+    expect(detector.hasSlept()).toEqual(false);
+    suspendedTime = 3000;
+    expect(detector.hasSlept()).toEqual(true);
+    expect(detector.hasSlept()).toEqual(false);
   });
 });
--- a/packages/runtime/src/suspension_detector.ts
+++ b/packages/runtime/src/suspension_detector.ts
@@ -13,13 +13,13 @@
 const TOLERATED_DIFFERENCE_MS: Milliseconds = 100;
 
 /** Compares the wall clock with the monotonic clock on each call. */
-export interface SuspensionGuard {
+export interface SuspensionDetector {
   /** True if the machine may have been suspended since the previous call. */
   hasSlept(): boolean;
 }
 
 /** Creates a detector for suspensions from now on. */
-export function createSuspensionGuard(timer: TimerService): SuspensionGuard {
+export function createSuspensionGuard(timer: TimerService): SuspensionDetector {
   let offset = timer.wallClock() - timer.now();
   return {
     hasSlept() {
