--- a/packages/manifest/__tests__/commit_manifest.spec.ts
+++ b/packages/manifest/__tests__/commit_manifest.spec.ts
@@ -13,7 +13,7 @@
 import {
   AcceptedManifest,
   CommitFailure,
-  REMEMBERED_COMMITS,
+  MAXIMUM_RECENT_COMMITS,
   commitManifest,
 } from '..';
 import {OFFICE_MANIFEST, SMALL_MANIFEST} from './examples';
@@ -21,12 +21,12 @@
 
 type CommitResult = Result<AcceptedManifest, CommitFailure>;
 
-/** A manifest that is different for each mark. */
+/** Returns a manifest that differs for each mark. */
 function bodyOf(mark: number): string {
   return SMALL_MANIFEST.replace('worth: 1,', `worth: ${mark + 1},`);
 }
 
-function createBench(seed: number, fault?: (call: string) => Fault) {
+function createFixture(seed: number, fault?: (call: string) => Fault) {
   const timer = createVirtualTimer();
   const runtime = createRuntime({timer, random: createRandom(seed)});
   const platform = createFakePlatform({runtime, fault});
@@ -74,8 +74,8 @@
   return {timer, runtime, platform, begin, commit, winners};
 }
 
-/** A fault of the n-th call of a kind; the others go well. */
-function nth(call: string, number: number, fault: Fault) {
+/** Returns a fault of the n-th call with a name. All others succeed. */
+function faultAt(call: string, number: number, fault: Fault) {
   let seen = 0;
   return (made: string): Fault =>
     made === call && ++seen === number ? fault : 'none';
@@ -87,7 +87,7 @@
 
 describe('committing a manifest', () => {
   test('raises the version by one and stores the body', () => {
-    const {commit, platform, winners} = createBench(1);
+    const {commit, platform, winners} = createFixture(1);
     expect(commit('a', 0).unwrap().version).toEqual(1);
     const second = commit('b', 1).unwrap();
     expect(second.version).toEqual(2);
@@ -95,8 +95,8 @@
     expect(winners()).toEqual(['a', 'b']);
   });
 
-  test('answers a conflict with the commit that is in force', () => {
-    const {commit} = createBench(1);
+  test('reports the commit in force when a version conflicts', () => {
+    const {commit} = createFixture(1);
     commit('a', 0);
     const late = commit('b', 0);
     expect(failureName(late)).toEqual('VERSION_CONFLICT');
@@ -106,8 +106,8 @@
     expect(failureName(commit('c', 5))).toEqual('VERSION_CONFLICT');
   });
 
-  test('refuses faulty texts and successors without touching the row', () => {
-    const {commit, platform} = createBench(1);
+  test('rejects invalid manifests and updates without writing the row', () => {
+    const {commit, platform} = createFixture(1);
     expect(failureName(commit('a', 0, 'format: 2'))).toEqual(
       'MANIFEST_INVALID',
     );
@@ -120,16 +120,19 @@
     expect(platform.written.length).toEqual(1);
   });
 
-  test('finds out that it won after a lost answer', () => {
-    const {commit, winners} = createBench(1, nth('writeRow', 1, 'answer-lost'));
+  test('detects that it was accepted after a lost answer', () => {
+    const {commit, winners} = createFixture(
+      1,
+      faultAt('writeRow', 1, 'answer-lost'),
+    );
     expect(commit('a', 0).unwrap().version).toEqual(1);
     expect(winners()).toEqual(['a']);
   });
 
-  test('finds out that it won though others committed on top', () => {
-    const {begin, commit, timer, winners, runtime} = createBench(
+  test('detects that it was accepted although later commits follow it', () => {
+    const {begin, commit, timer, winners, runtime} = createFixture(
       1,
-      nth('writeRow', 1, 'answer-lost'),
+      faultAt('writeRow', 1, 'answer-lost'),
     );
     const first: CommitResult[] = [];
     begin('a', 0).onSettled(result => first.push(result));
@@ -146,13 +149,13 @@
     expect(winners()).toEqual(['a', 'b', 'c']);
     expect(first[0]?.unwrap().version).toEqual(1);
     expect(commit('a', 0, bodyOf(0)).unwrap().version).toEqual(1);
-    // The same id with another body is another commit.
+    // The same id with a different body is a different commit.
     expect(failureName(commit('a', 0, bodyOf(9)))).toEqual('VERSION_CONFLICT');
   });
 
-  test('says unknown once the row has forgotten the version', () => {
-    const {commit} = createBench(1);
-    for (let version = 0; version < REMEMBERED_COMMITS + 2; version++) {
+  test('reports an unknown outcome once the row no longer records the version', () => {
+    const {commit} = createFixture(1);
+    for (let version = 0; version < MAXIMUM_RECENT_COMMITS + 2; version++) {
       commit(`commit-${version}`, version).unwrap();
     }
     const forgotten = commit('commit-0', 0, bodyOf(0));
@@ -160,14 +163,14 @@
     expect(commit('commit-1', 1, bodyOf(1)).unwrap().version).toEqual(2);
   });
 
-  test('says unknown if the platform stays out, not run if it never was in', () => {
+  test('reports unknown in an outage after the write, not run in one before it', () => {
     let writes = 0;
-    const out = createBench(1, call => {
+    const out = createFixture(1, call => {
       writes += call === 'writeRow' ? 1 : 0;
       return writes > 0 ? 'request-lost' : 'none';
     }).commit('a', 0);
     expect(out.err && out.val.failure.outcome).toEqual('unknown');
-    const never = createBench(1, () => 'request-lost').commit('a', 0);
+    const never = createFixture(1, () => 'request-lost').commit('a', 0);
     expect(never.err && never.val.failure.outcome).toEqual('not_run');
   });
 });
@@ -181,13 +184,13 @@
   'refused',
 ];
 
-/** Operators that race with each other over a platform full of faults. */
+/** Runs concurrent commits of several operators on a faulty platform. */
 function race(seed: number) {
   const random = createRandom(seed);
-  const bench = createBench(seed, () => random.pick(FAULTS));
+  const bench = createFixture(seed, () => random.pick(FAULTS));
   const answers = new Map<string, CommitResult>();
 
-  function* operate(name: string) {
+  function* submitCommits(name: string) {
     for (let attempt = 0; attempt < 4; attempt++) {
       const commitId = `${name}-${attempt}`;
       const expectedVersion = bench.platform.written.length;
@@ -198,31 +201,33 @@
     }
   }
   for (const name of ['a', 'b', 'c']) {
-    bench.runtime.spawn(name, operate(name));
+    bench.runtime.spawn(name, submitCommits(name));
   }
   bench.timer.advance(30_000);
   return {answers, winners: bench.winners()};
 }
 
-describe('racing commits over a faulty platform', () => {
-  test('are told accepted only if they won, not run only if they lost', () => {
-    const told = {accepted: 0, lost: 0, unknown: 0};
+describe('concurrent commits on a faulty platform', () => {
+  test('report accepted only if they won and not run only if they lost', () => {
+    const outcomes = {accepted: 0, lost: 0, unknown: 0};
     for (let seed = 1; seed <= 200; seed++) {
       const {answers, winners} = race(seed);
       expect(answers.size).toEqual(12);
       for (const [commitId, result] of answers) {
         const won = winners.indexOf(commitId);
         if (result.ok) {
-          told.accepted++;
+          outcomes.accepted++;
           expect([seed, won + 1]).toEqual([seed, result.val.version]);
         } else if (result.val.failure.outcome === 'not_run') {
-          told.lost++;
+          outcomes.lost++;
           expect([seed, won]).toEqual([seed, -1]);
         } else {
-          told.unknown++;
+          outcomes.unknown++;
         }
       }
     }
-    expect(Math.min(told.accepted, told.lost, told.unknown)).toBeGreaterThan(9);
+    expect(
+      Math.min(outcomes.accepted, outcomes.lost, outcomes.unknown),
+    ).toBeGreaterThan(9);
   });
 });
--- a/packages/manifest/__tests__/examples.ts
+++ b/packages/manifest/__tests__/examples.ts
@@ -1,18 +1,18 @@
-/** The examples of the repository, and variants of them, for specs. */
+/** The example files of the repository, and variants of them, for specs. */
 import {expect} from 'earl';
 import {readFileSync} from 'node:fs';
 import {join} from 'node:path';
 
-/** Directory of the examples. */
+/** Directory of the example files. */
 export const EXAMPLES = join(__dirname, '../../../examples');
 
-/** The manifest of the office. */
+/** The example manifest of the office. */
 export const OFFICE_MANIFEST = readFileSync(
   join(EXAMPLES, 'office/manifest.yaml'),
   'utf8',
 );
 
-/** A manifest that is quickly read. */
+/** A minimal manifest, which is fast to parse. */
 export const SMALL_MANIFEST = `format: 1
 service: small
 dataCentres: [here]
@@ -24,7 +24,7 @@
 kinds: [{name: any, worth: 1, deadline: 1000}]
 `;
 
-/** The office's manifest with the first match of each text replaced. */
+/** Returns the office manifest with the first match of each text replaced. */
 export function editedOfficeManifest(
   ...edits: ReadonlyArray<readonly [string, string]>
 ): string {
--- a/packages/manifest/__tests__/fake_platform.ts
+++ b/packages/manifest/__tests__/fake_platform.ts
@@ -1,4 +1,4 @@
-/** A platform in memory for specs, with faults between it and its client. */
+/** An in-memory platform for specs, with faults between it and its client. */
 import type {PlatformClient} from '@kelpstep/platform';
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {
@@ -12,9 +12,9 @@
 import {Err, Ok, Result} from 'ts-results';
 
 /**
- * What happens to a call. `request-lost`: no effect. `answer-lost`: effect, no
- * answer. `late`: the caller has given up when it takes effect. `refused`: it
- * did not leave.
+ * What happens to a call. `request-lost`: it has no effect. `answer-lost`: it
+ * takes effect, but the answer is lost. `late`: it takes effect after the
+ * caller timed out. `refused`: it is not sent.
  */
 export type Fault =
   'none' | 'request-lost' | 'answer-lost' | 'late' | 'refused';
@@ -37,7 +37,7 @@
   const {latency = 5, timeout = 300, lateness = 2000} = options;
   const rows = new Map<string, StoredRow>();
   const objects = new Map<string, string>();
-  /** Every row value that ever was in force, in order. */
+  /** All row values that were written, in order. */
   const written: StoredRow[] = [];
   const calls: string[] = [];
 
@@ -109,8 +109,11 @@
   return {client, written, calls, objects};
 }
 
-/** Starts a pause and gives a future of its end. */
-export function pause(runtime: Runtime, duration: Milliseconds): Future<void> {
+/** Returns a future that settles after the duration. */
+export function delayed(
+  runtime: Runtime,
+  duration: Milliseconds,
+): Future<void> {
   return runtime.spawn(
     'pause',
     (function* () {
--- a/packages/manifest/__tests__/succession.spec.ts
+++ b/packages/manifest/__tests__/manifest_update.spec.ts
@@ -10,7 +10,7 @@
 
 const OFFICE = read(OFFICE_MANIFEST);
 
-/** The office's manifest with the members of its first group replaced. */
+/** Returns the office manifest with the members of its first group replaced. */
 function withMembers(count: number, from = 0): Manifest {
   const [group, ...others] = OFFICE.groups;
   const first = group?.members[0];
@@ -25,14 +25,14 @@
   return {...OFFICE, groups: [{...group, members}, ...others]};
 }
 
-describe('the succession of manifests', () => {
-  test('lets one member come or go at a time', () => {
+describe('updating a manifest', () => {
+  test('may add or remove one member at a time', () => {
     expect(checkSuccession(withMembers(3), withMembers(4))).toEqual([]);
     expect(checkSuccession(withMembers(4), withMembers(3))).toEqual([]);
     expect(checkSuccession(OFFICE, OFFICE)).toEqual([]);
   });
 
-  test('refuses a replacement in one step, also under the same id', () => {
+  test('may not replace a member in one step, even under the same id', () => {
     expect(
       checkSuccession(withMembers(3), withMembers(3, 1)).map(({path}) => path),
     ).toEqual([['groups', 0, 'members']]);
@@ -40,16 +40,16 @@
     expect(checkSuccession(OFFICE, moved).length).toEqual(1);
   });
 
-  test('refuses a vanished group unless it had one member', () => {
+  test('may not remove a group unless it has one member', () => {
     const without = {...OFFICE, groups: OFFICE.groups.slice(1)};
     expect(checkSuccession(OFFICE, without).length).toEqual(1);
     expect(checkSuccession(withMembers(1), without)).toEqual([]);
   });
 
-  test('refuses another service and databases of another group', () => {
+  test('may not change the service or move databases to another group', () => {
     const text = OFFICE_MANIFEST.replace('service: handbook', 'service: other');
     const renamed = read(text.replace('name: rules', 'name: regulations'));
-    // The service, the vanished group, and three databases that moved.
+    // The service, the removed group, and three databases that moved.
     expect(checkSuccession(OFFICE, renamed).length).toEqual(5);
   });
 });
--- a/packages/manifest/__tests__/read_manifest.spec.ts
+++ b/packages/manifest/__tests__/read_manifest.spec.ts
@@ -14,14 +14,14 @@
 }
 
 describe('reading a manifest', () => {
-  test('gives the manifest with defaults filled in', () => {
+  test('returns the manifest with defaults filled in', () => {
     const manifest = readManifest(OFFICE_MANIFEST, 'file.yaml').unwrap();
     const sizes = manifest.groups.map(group => group.members.length);
     expect(sizes).toEqual([3, 3, 3]);
     expect(manifest.groups[0]?.members[0]?.state).toEqual('serving');
   });
 
-  test('with accounts takes digests of keys, each once', () => {
+  test('accepts key digests of accounts and rejects malformed or repeated ones', () => {
     const digest = 'A'.repeat(22);
     const accounts = (...digests: string[]) =>
       `accounts: [{name: office, keyDigests: [${digests.join()}]}]\n`;
@@ -32,7 +32,7 @@
     expect(again?.includes('a distinct key')).toEqual(true);
   });
 
-  test('reports all findings together, each at its place', () => {
+  test('reports all findings together, each with its location', () => {
     const text = editedOfficeManifest(
       ['slots: 3', 'slots: many'],
       ['127.0.0.1:7412', '127.0.0.1:7411'],
@@ -60,7 +60,7 @@
     );
   });
 
-  test('reports several syntax errors and repeated keys', () => {
+  test('reports several syntax errors and duplicate keys', () => {
     const syntax = linesFor('format: 1\n\tservice: x\na: [1, 2\nb: "x');
     expect(syntax.length).toBeGreaterThan(1);
     const repeated = linesFor('format: 1\nformat: 2\nservice: 7\n');
@@ -69,7 +69,7 @@
     expect(repeated.join('\n')).toEqual(expect.includes('service: expected'));
   });
 
-  test('refuses aliases, other documents, deep nesting and large files', () => {
+  test('rejects aliases, multiple documents, deep nesting and large files', () => {
     const hostile = [
       'a: &a [1]\nb: [*a, *a]\n',
       `${OFFICE_MANIFEST}---\nformat: 1\n`,
@@ -84,7 +84,7 @@
     }
   });
 
-  test('refuses addresses out of range and groups that leave entirely', () => {
+  test('rejects addresses out of range and groups in which all members leave', () => {
     const lines = linesFor(
       editedOfficeManifest(
         ['127.0.0.1:7411', '127.0.0.256:7411'],
@@ -103,7 +103,7 @@
     expect(linesFor(allLeave).length).toEqual(3);
   });
 
-  test('takes an even number of members with a warning', () => {
+  test('accepts an even number of members with a warning', () => {
     const text = editedOfficeManifest([
       '      - id: rules-3\n        dataCentre: kagoshima\n' +
         '        address: 127.0.0.1:7413\n        slots: 3\n' +
--- a/packages/manifest/__tests__/settings_schema.spec.ts
+++ b/packages/manifest/__tests__/settings_schema.spec.ts
@@ -11,14 +11,14 @@
   'utf8',
 );
 
-describe('reading settings', () => {
-  test('fills in limits and intervals', () => {
+describe('readSettings', () => {
+  test('fills in default limits and intervals', () => {
     const settings = readSettings(SETTINGS, 'proxy.yaml').unwrap();
     expect(settings.limits.maximumBodyBytes).toEqual(1024 * 1024);
     expect(settings.intervals.manifestPoll).toEqual(500);
   });
 
-  test('reports unknown keys and wrong values at their places', () => {
+  test('reports unknown keys and invalid values at their locations', () => {
     const text =
       SETTINGS.replace('proxy: lima-1', 'proxy: Lima 1') +
       'limits: {queueLength: 0, queue: 7}\n';
@@ -46,7 +46,7 @@
   return settings.err ? settings.val.map(formatFinding) : [];
 }
 
-describe('the examples', () => {
+describe('the example files', () => {
   for (const deployment of readdirSync(EXAMPLES)) {
     const directory = join(EXAMPLES, deployment);
     for (const file of readdirSync(directory)) {
--- a/packages/manifest/src/commit_failure.ts
+++ b/packages/manifest/src/commit_failure.ts
@@ -1,4 +1,4 @@
-/** Why a commit was not accepted, or that this is not known. */
+/** Failures of a commit, including unknown outcomes. */
 import {EarlierCommit, Failure, createFailure} from '@kelpstep/protocol';
 import type {Task} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
@@ -6,22 +6,23 @@
 import {Finding, formatFinding} from './finding';
 import {CurrentManifestRow, latestCommit} from './manifest_row';
 
-/** A commit that was not accepted, as far as is known. */
+/** The failure of a commit that is not known to be accepted. */
 export interface CommitFailure {
   /**
-   * `MANIFEST_INVALID`, `VERSION_CONFLICT` or the platform's failure; outcome
-   * `unknown` if the commit may have been or yet be accepted.
+   * `MANIFEST_INVALID`, `VERSION_CONFLICT`, `OUTCOME_UNKNOWN` or the failure of
+   * the platform. The outcome is `unknown` if the commit may have been accepted
+   * or may still be.
    */
   readonly failure: Failure;
   readonly findings: readonly Finding[];
-  /** With a conflict: the commit that is in force. */
+  /** The commit in force, if it is known after a version conflict. */
   readonly current?: EarlierCommit;
 }
 
 /** A step of a commit. */
 export type CommitStep<T> = Task<Result<T, CommitFailure>>;
 
-/** A failure of a call, with the outcome of the commit as a whole. */
+/** The failure of a call, with the outcome of the whole commit. */
 export function callFailed(
   failure: Failure,
   mayBeAccepted: boolean,
@@ -30,14 +31,14 @@
   return {failure: {...failure, outcome}, findings: []};
 }
 
-/** The text has errors, by itself or as the successor of another. */
+/** The text has errors, by itself or as an update of the manifest in force. */
 export function invalidManifest(findings: readonly Finding[]): CommitFailure {
   const details = findings.map(formatFinding);
   return {failure: createFailure('MANIFEST_INVALID', {details}), findings};
 }
 
-/** Another commit won; `row` if it is known which. */
-export function lostToAnother(row?: CurrentManifestRow): CommitFailure {
+/** Another commit created the version; `row` if it has been read. */
+export function versionConflict(row?: CurrentManifestRow): CommitFailure {
   const current = row === undefined ? undefined : latestCommit(row);
   const inForce =
     current === undefined
@@ -49,8 +50,8 @@
   return {failure, findings: [], ...(current === undefined ? {} : {current})};
 }
 
-/** So many commits came since that the row forgot who won. */
-export function forgottenCommit(version: number): CommitFailure {
+/** The row no longer records which commit created the version. */
+export function unknownOutcome(version: number): CommitFailure {
   const message = `Who committed version ${version} is no longer known.`;
   return {failure: createFailure('OUTCOME_UNKNOWN', {message}), findings: []};
 }
--- a/packages/manifest/src/commit_manifest.ts
+++ b/packages/manifest/src/commit_manifest.ts
@@ -1,6 +1,6 @@
 /**
  * Commits a manifest: checks it, stores its body as an object and replaces the
- * manifest row by one compare-and-set.
+ * manifest row with a compare-and-set.
  */
 import type {ManifestRow} from '@kelpstep/protocol';
 import type {PlatformClient} from '@kelpstep/platform';
@@ -10,51 +10,51 @@
 import {
   CommitStep,
   callFailed,
-  forgottenCommit,
   invalidManifest,
-  lostToAnother,
+  unknownOutcome,
+  versionConflict,
 } from './commit_failure';
 import {hasErrors} from './finding';
 import {
   CurrentManifestRow,
-  REMEMBERED_COMMITS,
-  commitFate,
+  MAXIMUM_RECENT_COMMITS,
   knownCommits,
   readManifestRow,
+  resolveCommit,
 } from './manifest_row';
 import type {AcceptedManifest, Manifest} from './manifest_schema';
-import {PatientCalls, createPatientCalls} from './patient_calls';
+import {RetryingCalls, createRetryingCalls} from './retrying_calls';
 import {inspectManifest, manifestDigest} from './read_manifest';
 import {replaceManifestRow} from './replace_manifest_row';
-import {checkSuccession} from './succession';
+import {checkSuccession} from './manifest_update';
 
-/** A commit and what carries it out. */
+/** A commit, with the runtime and the platform that it uses. */
 export interface CommitOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
   /** The YAML text. */
   readonly body: string;
-  /** Name of the text in findings. */
+  /** File name shown in findings. */
   readonly fileName: string;
-  /** Version that the commit replaces; 0 for the first. */
+  /** Version that the commit replaces; 0 for the first commit. */
   readonly expectedVersion: number;
-  /** Unique per commit; sending a commit again with its id is harmless. */
+  /** Unique per commit. A commit can be sent again safely with the same id. */
   readonly commitId: string;
   readonly committedBy: string;
-  /** Time after which the answer is given, whatever is known. */
+  /** Time after which the commit returns, even if its outcome is unknown. */
   readonly timeLimit?: Milliseconds;
 }
 
-const DEFAULT_TIME_LIMIT = 10_000;
+const DEFAULT_TIMEOUT_MS = 10_000;
 
-/** Reads the manifest in force, which the new one has to follow. */
+/** Reads the manifest in force, which the new one is checked against. */
 function* readPrevious(
   platform: PlatformClient,
-  calls: PatientCalls,
+  calls: RetryingCalls,
   row: CurrentManifestRow,
 ): CommitStep<Manifest> {
   const digest = row.value?.digest ?? '';
-  const object = yield* calls.persist(() => platform.getObject(digest));
+  const object = yield* calls.retry(() => platform.getObject(digest));
   if (object.err) {
     return Err(callFailed(object.val, false));
   }
@@ -63,7 +63,7 @@
   if (manifest !== undefined && manifestDigest(object.val) === digest) {
     return Ok(manifest);
   }
-  // Without it nobody can tell whether majorities would overlap.
+  // Without the previous manifest, overlap of the majorities can't be checked.
   const unreadable = locate({
     path: [],
     expected: 'a manifest in force that this release can read',
@@ -72,10 +72,10 @@
   return Err(invalidManifest([...findings, unreadable]));
 }
 
-/** Checks the text by itself and as the successor of the one in force. */
+/** Checks the text by itself and as an update of the manifest in force. */
 function* checkCommit(
   {platform, body, fileName}: CommitOptions,
-  calls: PatientCalls,
+  calls: RetryingCalls,
   row: CurrentManifestRow | undefined,
 ): CommitStep<Manifest> {
   const {manifest, findings, locate} = inspectManifest(body, fileName);
@@ -89,41 +89,41 @@
   if (previous.err) {
     return previous;
   }
-  const succession = checkSuccession(previous.val, manifest).map(locate);
-  return hasErrors(succession)
-    ? Err(invalidManifest([...findings, ...succession]))
+  const updateIssues = checkSuccession(previous.val, manifest).map(locate);
+  return hasErrors(updateIssues)
+    ? Err(invalidManifest([...findings, ...updateIssues]))
     : Ok(manifest);
 }
 
-/** Commits a manifest; gives it with its version once it is accepted. */
+/** Commits a manifest. Returns it with its version once it is accepted. */
 export function* commitManifest(
   options: CommitOptions,
 ): CommitStep<AcceptedManifest> {
   const {runtime, platform, body, expectedVersion, commitId} = options;
   const {timer} = runtime;
-  const deadline = timer.now() + (options.timeLimit ?? DEFAULT_TIME_LIMIT);
-  const calls = createPatientCalls(runtime, deadline);
+  const deadline = timer.now() + (options.timeLimit ?? DEFAULT_TIMEOUT_MS);
+  const calls = createRetryingCalls(runtime, deadline);
   const digest = manifestDigest(body);
 
-  const read = yield* calls.persist(() => readManifestRow(platform));
+  const read = yield* calls.retry(() => readManifestRow(platform));
   if (read.err) {
     return Err(callFailed(read.val, false));
   }
   const row = read.val;
-  const fate = commitFate(row, {expectedVersion, commitId, digest});
-  if (fate === 'lost' || row.version < expectedVersion) {
-    return Err(lostToAnother(row));
+  const resolution = resolveCommit(row, {expectedVersion, commitId, digest});
+  if (resolution === 'lost' || row.version < expectedVersion) {
+    return Err(versionConflict(row));
   }
-  if (fate === 'unknowable') {
-    return Err(forgottenCommit(expectedVersion + 1));
+  if (resolution === 'unknowable') {
+    return Err(unknownOutcome(expectedVersion + 1));
   }
-  const isOpen = fate === 'open';
+  const isOpen = resolution === 'open';
   const checked = yield* checkCommit(options, calls, isOpen ? row : undefined);
   if (checked.err) {
     return checked;
   }
   if (isOpen) {
-    const stored = yield* calls.persist(() => platform.putObject(digest, body));
+    const stored = yield* calls.retry(() => platform.putObject(digest, body));
     if (stored.err) {
       return Err(callFailed(stored.val, false));
     }
@@ -132,7 +132,7 @@
       digest,
       committedBy: options.committedBy,
       committedAt: timer.wallClock(),
-      recent: knownCommits(row).slice(0, REMEMBERED_COMMITS),
+      recent: knownCommits(row).slice(0, MAXIMUM_RECENT_COMMITS),
     };
     const replaced = yield* replaceManifestRow({
       platform,
--- a/packages/manifest/src/finding.ts
+++ b/packages/manifest/src/finding.ts
@@ -1,37 +1,37 @@
-/** What is wrong in a file, where, and what was expected instead. */
+/** Findings: problems in a file, with their location and what was expected. */
 
-/** Errors refuse a file; warnings are shown and do not. */
+/** A file with errors is rejected. Warnings are only reported. */
 export type Severity = 'error' | 'warning';
 
-/** One thing that is wrong or doubtful in a file. */
+/** An error or a warning at one location of a file. */
 export interface Finding {
   readonly severity: Severity;
   readonly file: string;
-  /** Line and column count from 1. */
+  /** Line and column are counted from 1. */
   readonly line: number;
   readonly column: number;
-  /** Place within the data: `groups[0].members[2].slots`; empty: the whole. */
+  /** Path within the data: `groups[0].members[2].slots`. Empty for the root. */
   readonly path: string;
   readonly expected: string;
   readonly found: string;
 }
 
-/** Keys and indexes that lead to a value. */
+/** Keys and indexes from the root of the data to a value. */
 export type DataPath = ReadonlyArray<string | number>;
 
-/** Something wrong at a place of the data, not yet located in the text. */
+/** A problem at a path of the data, not yet located in the text. */
 export interface DataIssue {
-  /** `error` by default. */
+  /** Defaults to `error`. */
   readonly severity?: Severity;
   readonly path: DataPath;
   readonly expected: string;
-  /** Taken from the document by default. */
+  /** Defaults to a description of the value in the document. */
   readonly found?: string;
-  /** True if the last key of the path is what is wrong, not its value. */
+  /** True if the last key of the path is wrong rather than its value. */
   readonly atKey?: boolean;
 }
 
-/** Gives a path its usual form: `groups[0].name`. */
+/** Formats a path: `groups[0].name`. */
 export function formatPath(path: DataPath): string {
   return path
     .map((part, index) => {
@@ -43,23 +43,23 @@
     .join('');
 }
 
-/** One line: `file.yaml:12:7: path: expected this, found that`. */
+/** Formats a finding in one line: `file.yaml:12:7: path: expected a, found b`. */
 export function formatFinding(finding: Finding): string {
   const {severity, file, line, column, path, expected, found} = finding;
   const prefix = severity === 'warning' ? 'warning: ' : '';
   const subject = path === '' ? '' : `${path}: `;
-  const place = `${file}:${line}:${column}`;
-  return `${place}: ${prefix}${subject}expected ${expected}, found ${found}`;
+  const location = `${file}:${line}:${column}`;
+  return `${location}: ${prefix}${subject}expected ${expected}, found ${found}`;
 }
 
-/** True if a finding refuses its file. */
+/** Returns whether there is an error among the findings. */
 export function hasErrors(findings: readonly Finding[]): boolean {
   return findings.some(finding => finding.severity === 'error');
 }
 
-const LONGEST_SHOWN_TEXT = 60;
+const MAXIMUM_VALUE_LENGTH = 60;
 
-/** Describes a value in a finding; long texts are cut. */
+/** Describes a value for a finding. Long texts are truncated. */
 export function describeValue(value: unknown): string {
   if (value === undefined || value === null) {
     return 'nothing';
@@ -72,7 +72,7 @@
   }
   const shown =
     typeof value === 'string' ? JSON.stringify(value) : String(value);
-  return shown.length > LONGEST_SHOWN_TEXT
-    ? `${shown.slice(0, LONGEST_SHOWN_TEXT)}…`
+  return shown.length > MAXIMUM_VALUE_LENGTH
+    ? `${shown.slice(0, MAXIMUM_VALUE_LENGTH)}…`
     : shown;
 }
--- a/packages/manifest/src/manifest_checks.ts
+++ b/packages/manifest/src/manifest_checks.ts
@@ -1,6 +1,7 @@
 /**
- * Checks of a manifest that go across its parts. They run on whatever of it
- * can be read, so that they are reported together with the schema's findings.
+ * Checks across the parts of a manifest. They use lenient outline schemas that
+ * drop unreadable values, so that their findings are reported together with
+ * those of the manifest schema.
  */
 import {z} from 'zod';
 
@@ -50,16 +51,19 @@
 type GroupOutline = z.infer<typeof groupOutlineSchema>;
 type MemberOutline = z.infer<typeof memberOutlineSchema>;
 
-interface Placed {
+interface LocatedValue {
   readonly path: DataPath;
   readonly value: string | undefined;
 }
 
-/** Reports each value that stands at an earlier place as well. */
-function findDuplicates(what: string, places: readonly Placed[]): DataIssue[] {
+/** Reports each value that already occurred earlier in the list. */
+function findDuplicates(
+  what: string,
+  values: readonly LocatedValue[],
+): DataIssue[] {
   const seen = new Set<string>();
   const issues: DataIssue[] = [];
-  for (const {path, value} of places) {
+  for (const {path, value} of values) {
     if (value === undefined) {
       continue;
     }
@@ -75,12 +79,12 @@
   return issues;
 }
 
-interface PlacedMember {
+interface LocatedMember {
   readonly path: DataPath;
   readonly member: MemberOutline;
 }
 
-function placedMembers(outline: ManifestOutline): PlacedMember[] {
+function locatedMembers(outline: ManifestOutline): LocatedMember[] {
   return outline.groups.flatMap((group, groupIndex) =>
     group.members.map((member, index) => ({
       path: ['groups', groupIndex, 'members', index],
@@ -90,7 +94,7 @@
 }
 
 function duplicateIssues(outline: ManifestOutline): DataIssue[] {
-  const members = placedMembers(outline);
+  const members = locatedMembers(outline);
   return [
     ...findDuplicates(
       'data centre',
@@ -123,8 +127,8 @@
     ...findDuplicates(
       'key',
       outline.accounts.flatMap((account, index) =>
-        account.keyDigests.map((value, place) => ({
-          path: ['accounts', index, 'keyDigests', place],
+        account.keyDigests.map((value, keyIndex) => ({
+          path: ['accounts', index, 'keyDigests', keyIndex],
           value,
         })),
       ),
@@ -151,7 +155,7 @@
   if (declared.size === 0) {
     return [];
   }
-  return placedMembers(outline)
+  return locatedMembers(outline)
     .filter(
       ({member}) =>
         member.dataCentre !== undefined && !declared.has(member.dataCentre),
@@ -163,7 +167,7 @@
 }
 
 function connectionIssues(outline: ManifestOutline): DataIssue[] {
-  return placedMembers(outline)
+  return locatedMembers(outline)
     .filter(
       ({member}) => (member.connectionLimit ?? Infinity) < (member.slots ?? 0),
     )
@@ -218,7 +222,7 @@
   return issues;
 }
 
-/** Gives what is wrong across the parts of a manifest's data. */
+/** Checks the data of a manifest across its parts. */
 export function checkManifestData(raw: unknown): DataIssue[] {
   const parsed = outlineSchema.safeParse(raw);
   if (!parsed.success) {
--- a/packages/manifest/src/manifest_row.ts
+++ b/packages/manifest/src/manifest_row.ts
@@ -1,4 +1,4 @@
-/** The row that says which manifest is in force, and what it tells of commits. */
+/** The row that names the manifest in force and records recent commits. */
 import {
   EarlierCommit,
   Failure,
@@ -12,10 +12,10 @@
 import {Future, mapFuture} from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
 
-/** Earlier commits that the row remembers. */
-export const REMEMBERED_COMMITS = 32;
+/** Maximum number of earlier commits that the row records. */
+export const MAXIMUM_RECENT_COMMITS = 32;
 
-/** The row as read; without a value no manifest was ever accepted. */
+/** The row as read. Without a value, no manifest has been accepted yet. */
 export interface CurrentManifestRow {
   readonly version: number;
   readonly value: ManifestRow | undefined;
@@ -48,7 +48,7 @@
   );
 }
 
-/** The commit that made the row what it is. */
+/** Returns the commit that wrote the current value of the row. */
 export function latestCommit(
   row: CurrentManifestRow,
 ): EarlierCommit | undefined {
@@ -60,41 +60,41 @@
   return {version, commitId, digest, committedBy};
 }
 
-/** Known commits, newest first. */
+/** Returns the commits that the row records, newest first. */
 export function knownCommits(row: CurrentManifestRow): EarlierCommit[] {
   const latest = latestCommit(row);
   return latest === undefined ? [] : [latest, ...(row.value?.recent ?? [])];
 }
 
 /**
- * What became of a commit: `accepted`; `lost`, for another commit took its
- * version; `open`, for nobody took the version, and a request that is still on
- * its way may; `unknowable`, for the row does not remember the version, or has
- * not come to it.
+ * The state of a commit: `accepted`; `lost`, as another commit created its
+ * version; `open`, as the version does not exist yet and a request in flight
+ * may still create it; `unknowable`, as the row no longer records the version
+ * or has not reached it.
  */
-export type CommitFate = 'accepted' | 'lost' | 'open' | 'unknowable';
+export type CommitResolution = 'accepted' | 'lost' | 'open' | 'unknowable';
 
-/** A commit whose fate is asked for. */
-export interface SoughtCommit {
+/** A commit whose state is to be determined. */
+export interface CommitAttempt {
   readonly expectedVersion: number;
   readonly commitId: string;
   readonly digest: string;
 }
 
-/** Tells the fate of a commit on top of its expected version. */
-export function commitFate(
+/** Determines the state of a commit on top of its expected version. */
+export function resolveCommit(
   row: CurrentManifestRow,
-  {expectedVersion, commitId, digest}: SoughtCommit,
-): CommitFate {
+  {expectedVersion, commitId, digest}: CommitAttempt,
+): CommitResolution {
   if (row.version === expectedVersion) {
     return 'open';
   }
-  const taker = knownCommits(row).find(
+  const successor = knownCommits(row).find(
     commit => commit.version === expectedVersion + 1,
   );
-  if (taker === undefined) {
+  if (successor === undefined) {
     return 'unknowable';
   }
-  const isOurs = taker.commitId === commitId && taker.digest === digest;
+  const isOurs = successor.commitId === commitId && successor.digest === digest;
   return isOurs ? 'accepted' : 'lost';
 }
--- a/packages/manifest/src/manifest_keeper.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -1,9 +1,10 @@
 /**
- * Keeps the manifest in force on this proxy. A few proxies poll the platform's
- * row, so that its reads don't grow with the proxies; the others hear of
- * versions from peers and fetch the body from whoever told. A lower version is
- * never taken, and without platform and peers the proxy goes on with what it
- * has.
+ * Keeps the manifest of this proxy up to date. Only a few proxies poll the
+ * manifest row of the platform, so that the number of reads does not grow with
+ * the number of proxies. The others learn of versions through gossip and fetch
+ * the body from the peer that reported the version. A lower version is never
+ * accepted. While platform and peers are unreachable, the current manifest
+ * stays in force.
  */
 import {Failure, ResultOf, peerManifest} from '@kelpstep/protocol';
 import type {PlatformClient} from '@kelpstep/platform';
@@ -26,80 +27,80 @@
 import type {AcceptedManifest} from './manifest_schema';
 import {inspectManifest, manifestDigest} from './read_manifest';
 
-/** A peer's answer to `peer.manifest`. */
-export type PeerManifestAnswer = ResultOf<typeof peerManifest>;
+/** The result of `peer.manifest`. */
+export type PeerManifestResult = ResultOf<typeof peerManifest>;
 
-/** A manifest that was offered, before it is checked. */
-export type OfferedManifest = NonNullable<PeerManifestAnswer['manifest']>;
+/** A received manifest that has not been checked yet. */
+export type OfferedManifest = NonNullable<PeerManifestResult['manifest']>;
 
-/** What a keeper is made of. */
-export interface ManifestKeeperOptions {
+/** Dependencies and settings of a manifest synchronizer. */
+export interface ManifestSynchronizerOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
-  /** True if this proxy is one of those that poll the platform. */
+  /** Returns whether this proxy is one of the proxies that poll the platform. */
   readonly polls: () => boolean;
-  /** Addresses of peers to ask at the start, the most useful first. */
+  /** Addresses of the peers to request from at startup, preferred ones first. */
   readonly peers: () => readonly string[];
-  /** Asks a peer for a manifest above a version; settles within a timeout. */
+  /** Requests a manifest above a version from a peer. Settles within a timeout. */
   readonly fetchManifest: (
     address: string,
     above: number,
-  ) => Future<Result<PeerManifestAnswer, Failure>>;
+  ) => Future<Result<PeerManifestResult, Failure>>;
   readonly pollInterval?: Milliseconds;
-  /** Told why an offered manifest was not taken. */
+  /** Called with the reason when an offered manifest fails a check. */
   readonly onRejected?: (version: number, reason: string) => void;
 }
 
-/** The manifest in force on this proxy. */
-export interface ManifestKeeper {
-  /** Starts polling and, without a manifest, looking for one. */
+/** Holds the manifest in force on this proxy and updates it. */
+export interface ManifestSynchronizer {
+  /** Starts polling and, without a manifest, the search for the first one. */
   start(): void;
   current(): AcceptedManifest | undefined;
-  /** Version in force; 0 without one. */
+  /** Version in force; 0 without a manifest. */
   version(): number;
   /**
-   * Time since the platform was known to have no newer manifest; `Infinity`
-   * before the first answer.
+   * Time since the platform was last known to have no newer manifest, in
+   * milliseconds; `Infinity` before the first successful read.
    */
   age(): Milliseconds;
-  /** Asks the platform whether there is a newer one, unless it is being asked. */
-  confirm(): void;
+  /** Reads the platform for a newer manifest, unless a refresh is running. */
+  refresh(): void;
   /** Settles with the first manifest in force. */
   readonly ready: Future<AcceptedManifest>;
-  /** Calls the listener with each manifest that comes into force. */
+  /** Registers a listener that is called with each manifest put in force. */
   onChange(listener: (manifest: AcceptedManifest) => void): Unsubscribe;
-  /** Takes a manifest if it is sound and newer; true if it was taken. */
+  /** Puts a manifest in force if it is valid and newer. Returns whether it was. */
   offer(offered: OfferedManifest): boolean;
-  /** Tells that a peer has a version; a newer one is fetched from it. */
-  heard(version: number, address: string): void;
-  /** Serves `peer.manifest`. */
+  /** Notes the version that a peer has. A newer one is fetched from the peer. */
+  notePeerVersion(version: number, address: string): void;
+  /** Registers the handler of `peer.manifest`. */
   serve(handlers: HandlerTable): void;
 }
 
-const DEFAULT_POLL_INTERVAL = 500;
-const POLL_JITTER = 0.2;
-/** Peers that a proxy without a manifest asks while the platform is out. */
-const PEERS_ASKED = 5;
-/** Longest wait for the platform, and for the peers, before the other. */
-const START_PATIENCE = 1000;
-const SHORTEST_START_PAUSE = 100;
-const LONGEST_START_PAUSE = 2000;
-/** Bodies that are fetched from peers at a time. */
-const CONCURRENT_FETCHES = 2;
+const DEFAULT_POLL_INTERVAL_MS = 500;
+const POLL_JITTER_RATIO = 0.2;
+/** Number of peers queried at startup while the platform is unavailable. */
+const START_PEER_COUNT = 5;
+/** Maximum wait at startup for the platform, then for the peers, per round. */
+const START_TIMEOUT_MS = 1000;
+const MINIMUM_START_BACKOFF_MS = 100;
+const MAXIMUM_START_BACKOFF_MS = 2000;
+/** Maximum number of bodies that are fetched from peers at the same time. */
+const MAXIMUM_CONCURRENT_FETCHES = 2;
 
-/** Creates a keeper without a manifest. */
+/** Creates a manifest synchronizer that has no manifest yet. */
 export function createManifestKeeper(
-  options: ManifestKeeperOptions,
-): ManifestKeeper {
+  options: ManifestSynchronizerOptions,
+): ManifestSynchronizer {
   const {runtime, platform, fetchManifest} = options;
   const {random} = runtime;
-  const pollInterval = options.pollInterval ?? DEFAULT_POLL_INTERVAL;
+  const pollInterval = options.pollInterval ?? DEFAULT_POLL_INTERVAL_MS;
   const ready = createDeferred<AcceptedManifest>();
   const listeners = new Set<(manifest: AcceptedManifest) => void>();
   const fetching = new Set<string>();
   let current: AcceptedManifest | undefined;
   let confirmedAt = -Infinity;
-  let isConfirming = false;
+  let isRefreshing = false;
 
   function version(): number {
     return current?.version ?? 0;
@@ -131,7 +132,7 @@
     return true;
   }
 
-  function* readBody(row: CurrentManifestRow): Task<void> {
+  function* fetchBody(row: CurrentManifestRow): Task<void> {
     const {value} = row;
     if (value === undefined || row.version <= version()) {
       return;
@@ -143,64 +144,66 @@
     }
   }
 
-  function* askPlatform(): Task<void> {
-    const askedAt = runtime.timer.now();
+  function* readFromPlatform(): Task<void> {
+    const requestedAt = runtime.timer.now();
     const row = yield* waitFor(readManifestRow(platform));
     if (row.err) {
       return;
     }
-    yield* readBody(row.val);
+    yield* fetchBody(row.val);
     if (version() >= row.val.version) {
-      confirmedAt = Math.max(confirmedAt, askedAt);
+      confirmedAt = Math.max(confirmedAt, requestedAt);
     }
   }
 
-  function* confirmOnce(): Task<void> {
-    isConfirming = true;
+  function* refreshOnce(): Task<void> {
+    isRefreshing = true;
     try {
-      yield* askPlatform();
+      yield* readFromPlatform();
     } finally {
-      isConfirming = false;
+      isRefreshing = false;
     }
   }
 
   function* poll(): Task<void> {
     for (;;) {
-      yield* sleep(random.jitter(pollInterval, POLL_JITTER));
+      yield* sleep(random.jitter(pollInterval, POLL_JITTER_RATIO));
       if (options.polls()) {
-        yield* askPlatform();
+        yield* readFromPlatform();
       }
     }
   }
 
-  /** Takes the highest version that several peers have. */
-  function* askPeers(): Task<void> {
-    const addresses = options.peers().slice(0, PEERS_ASKED);
-    const deadline = runtime.timer.now() + START_PATIENCE;
-    const asked = addresses.map(address => fetchManifest(address, version()));
+  /** Requests the manifest from several peers and accepts the highest version. */
+  function* requestFromPeers(): Task<void> {
+    const addresses = options.peers().slice(0, START_PEER_COUNT);
+    const deadline = runtime.timer.now() + START_TIMEOUT_MS;
+    const requests = addresses.map(address =>
+      fetchManifest(address, version()),
+    );
     const offers: OfferedManifest[] = [];
-    for (const answer of asked) {
-      const patience = Math.max(0, deadline - runtime.timer.now());
-      const reply = yield* waitAtMost(answer, patience);
+    for (const request of requests) {
+      const remaining = Math.max(0, deadline - runtime.timer.now());
+      const reply = yield* waitAtMost(request, remaining);
       if (reply?.ok && reply.val.manifest !== undefined) {
         offers.push(reply.val.manifest);
       }
     }
-    // Once the highest sound one is taken, the others are refused as lower.
+    // After the highest valid version is accepted, `offer` rejects the rest.
     offers.sort((left, right) => right.version - left.version).forEach(offer);
   }
 
-  function* findFirst(): Task<void> {
-    let pause = SHORTEST_START_PAUSE;
+  function* findInitialManifest(): Task<void> {
+    let backoff = MINIMUM_START_BACKOFF_MS;
     while (current === undefined) {
-      const asking = runtime.spawn('ask platform', askPlatform());
-      yield* waitAtMost(asking.result, START_PATIENCE);
+      const reading = runtime.spawn('read manifest', readFromPlatform());
+      yield* waitAtMost(reading.result, START_TIMEOUT_MS);
       if (current === undefined) {
-        yield* askPeers();
+        yield* requestFromPeers();
       }
       if (current === undefined) {
-        yield* sleep(random.jitter(pause, POLL_JITTER));
-        pause = Math.min(2 * pause, LONGEST_START_PAUSE);
+        yield* sleep(random.jitter(backoff, POLL_JITTER_RATIO));
+        backoff = Math.min(2 * backoff, MAXIMUM_START_BACKOFF_MS);
       }
     }
   }
@@ -217,18 +220,18 @@
     }
   }
 
-  /** A fetch that fails is repeated when a peer tells its version again. */
-  function heard(heardVersion: number, address: string): void {
+  /** A failed fetch is repeated when a peer reports its version again. */
+  function notePeerVersion(peerVersion: number, address: string): void {
     const isWanted =
-      heardVersion > version() &&
-      fetching.size < CONCURRENT_FETCHES &&
+      peerVersion > version() &&
+      fetching.size < MAXIMUM_CONCURRENT_FETCHES &&
       !fetching.has(address);
     if (isWanted) {
       runtime.spawn('fetch manifest', fetchFrom(address));
     }
   }
 
-  function answer(above: number): PeerManifestAnswer {
+  function answer(above: number): PeerManifestResult {
     if (current === undefined || current.version <= above) {
       return {};
     }
@@ -238,15 +241,15 @@
 
   return {
     start() {
-      runtime.spawn('find manifest', findFirst());
+      runtime.spawn('find manifest', findInitialManifest());
       runtime.spawn('poll manifest', poll());
     },
     current: () => current,
     version,
     age: () => runtime.timer.now() - confirmedAt,
-    confirm() {
-      if (!isConfirming) {
-        runtime.spawn('confirm manifest', confirmOnce());
+    refresh() {
+      if (!isRefreshing) {
+        runtime.spawn('refresh manifest', refreshOnce());
       }
     },
     ready: ready.future,
@@ -255,7 +258,7 @@
       return () => void listeners.delete(listener);
     },
     offer,
-    heard,
+    notePeerVersion,
     serve(handlers) {
       handlers.handle(peerManifest, ({above}) =>
         settledFuture(Ok(answer(above))),
--- a/packages/manifest/src/succession.ts
+++ b/packages/manifest/src/manifest_update.ts
@@ -1,17 +1,18 @@
 /**
- * Checks that one manifest may follow another. Logs that hold no configuration
- * are counted over the manifest, which proxies take at different moments, so
- * majorities of two consecutive versions of a group must overlap: else each
- * could confirm records that the other does not see. Groups whose logs hold
- * configurations don't need the rule; the manifest can't tell them apart.
+ * Checks that a manifest may replace another. For logs that hold no
+ * configuration, majorities are counted over the members in the manifest, and
+ * proxies put a new version in force at different times. So majorities of two
+ * consecutive versions of a group must overlap; otherwise each could confirm
+ * records that the other does not see. Groups whose logs hold configurations
+ * don't need this rule, but the manifest does not show which groups these are.
  */
 import {DataIssue} from './finding';
 import type {Group, Manifest} from './manifest_schema';
 
-/** Most members by which a group may change from one version to the next. */
+/** Maximum number of members of a group added and removed by one version. */
 const MAXIMUM_MEMBER_CHANGES = 1;
 
-/** A member under another address is another database. */
+/** A member with a changed address is a different database. */
 function memberKeys(group: Group): Set<string> {
   return new Set(group.members.map(({id, address}) => `${id} at ${address}`));
 }
@@ -42,8 +43,8 @@
   ];
 }
 
-/** A group is taken down one member at a time; only the last one may go. */
-function checkVanished(previous: Manifest, next: Manifest): DataIssue[] {
+/** A group is reduced member by member, and removed with its last member. */
+function checkRemovedGroups(previous: Manifest, next: Manifest): DataIssue[] {
   const names = new Set(next.groups.map(group => group.name));
   return previous.groups
     .filter(group => !names.has(group.name) && group.members.length > 1)
@@ -54,8 +55,8 @@
     }));
 }
 
-/** A database holds the log of one group and can't serve another. */
-function checkMoves(previous: Manifest, next: Manifest): DataIssue[] {
+/** A database holds the log of one group and can't join another group. */
+function checkMovedMembers(previous: Manifest, next: Manifest): DataIssue[] {
   const groupOf = new Map<string, string>();
   for (const group of previous.groups) {
     group.members.forEach(({address}) => groupOf.set(address, group.name));
@@ -82,8 +83,8 @@
 }
 
 /**
- * Gives what speaks against `next` as the version after `previous`; locate
- * each issue in the text of `next`.
+ * Returns the issues that rule out `next` as the version after `previous`. Their
+ * paths refer to the data of `next`.
  */
 export function checkSuccession(
   previous: Manifest,
@@ -96,8 +97,8 @@
   });
   return [
     ...checkService(previous, next),
-    ...checkVanished(previous, next),
-    ...checkMoves(previous, next),
+    ...checkRemovedGroups(previous, next),
+    ...checkMovedMembers(previous, next),
     ...memberIssues,
   ];
 }
--- a/packages/manifest/src/read_manifest.ts
+++ b/packages/manifest/src/read_manifest.ts
@@ -1,4 +1,4 @@
-/** Reads a manifest and reports all that is wrong with it together. */
+/** Reads a manifest and reports all findings together. */
 import {createHash} from 'node:crypto';
 import {Err, Ok, Result} from 'ts-results';
 
@@ -11,21 +11,21 @@
 } from './manifest_schema';
 import {openYamlDocument} from './yaml_document';
 
-/** A manifest that was read, with its warnings too. */
+/** The result of reading a manifest, including warnings. */
 export interface ManifestInspection {
-  /** Undefined if there is an error among the findings. */
+  /** Undefined if the findings include an error. */
   readonly manifest: Manifest | undefined;
-  /** In the order of the text. */
+  /** Ordered by location in the text. */
   readonly findings: readonly Finding[];
-  /** Locates what further checks find in the same text. */
+  /** Locates an issue of a further check in the same text. */
   locate(issue: DataIssue): Finding;
 }
 
-function byPlace(left: Finding, right: Finding): number {
+function byLocation(left: Finding, right: Finding): number {
   return left.line - right.line || left.column - right.column;
 }
 
-/** Reads a manifest; warnings are among the findings. */
+/** Reads a manifest. The findings include warnings. */
 export function inspectManifest(
   text: string,
   fileName: string,
@@ -36,7 +36,7 @@
   const findings = [
     ...document.findings,
     ...checkManifestData(document.raw).map(document.locate),
-  ].sort(byPlace);
+  ].sort(byLocation);
   return {
     manifest: hasErrors(findings) ? undefined : document.value,
     findings,
@@ -44,7 +44,7 @@
   };
 }
 
-/** Reads a manifest; on errors every finding of the file is given. */
+/** Reads a manifest. Returns every finding of the file if there are errors. */
 export function readManifest(
   text: string,
   fileName: string,
@@ -53,7 +53,7 @@
   return manifest === undefined ? Err([...findings]) : Ok(manifest);
 }
 
-/** SHA-256 of a manifest's body, hexadecimal: its name as an object. */
+/** Returns the SHA-256 of a body in hexadecimal, which is its object name. */
 export function manifestDigest(body: string): string {
   return createHash('sha256').update(body).digest('hex');
 }
--- a/packages/manifest/src/replace_manifest_row.ts
+++ b/packages/manifest/src/replace_manifest_row.ts
@@ -1,7 +1,7 @@
 /**
- * The compare-and-set of a commit. Its answer may be lost after the effect, so
- * the row is read to learn who took the version. The same compare-and-set may
- * be sent again, since at most one of them can succeed.
+ * The compare-and-set of a commit. The answer may be lost after the write took
+ * effect, so the row is read to determine which commit created the version.
+ * Repeating the same compare-and-set is safe, as at most one of them succeeds.
  */
 import {MANIFEST_ROW_KEY, ManifestRow, TABLES} from '@kelpstep/protocol';
 import type {PlatformClient} from '@kelpstep/platform';
@@ -12,50 +12,52 @@
   CommitFailure,
   CommitStep,
   callFailed,
-  forgottenCommit,
-  lostToAnother,
+  unknownOutcome,
+  versionConflict,
 } from './commit_failure';
-import {commitFate, readManifestRow} from './manifest_row';
-import type {PatientCalls} from './patient_calls';
+import {readManifestRow, resolveCommit} from './manifest_row';
+import type {RetryingCalls} from './retrying_calls';
 
-/** What replaces the row. */
+/** The new value of the row and the means to write it. */
 export interface RowReplacement {
   readonly platform: PlatformClient;
-  readonly calls: PatientCalls;
+  readonly calls: RetryingCalls;
   readonly expectedVersion: number;
   readonly value: ManifestRow;
 }
 
 /**
- * Reads who took the version; undefined while nobody has. `hasLost`: every
- * try is known to have failed.
+ * Reads which commit created the version; undefined while there is none.
+ * `allAttemptsFailed`: no earlier attempt can still take effect.
  */
-function* resolveFate(
+function* resolveAttempt(
   replacement: RowReplacement,
-  hasLost: boolean,
+  allAttemptsFailed: boolean,
 ): Task<Result<undefined, CommitFailure> | undefined> {
   const {platform, calls, expectedVersion, value} = replacement;
-  const read = yield* calls.persist(() => readManifestRow(platform));
+  const read = yield* calls.retry(() => readManifestRow(platform));
   if (read.err) {
-    return Err(hasLost ? lostToAnother() : callFailed(read.val, true));
+    return Err(
+      allAttemptsFailed ? versionConflict() : callFailed(read.val, true),
+    );
   }
-  switch (commitFate(read.val, {...value, expectedVersion})) {
+  switch (resolveCommit(read.val, {...value, expectedVersion})) {
     case 'accepted':
       return Ok(undefined);
     case 'lost':
-      return Err(lostToAnother(read.val));
+      return Err(versionConflict(read.val));
     case 'unknowable':
       return Err(
-        hasLost
-          ? lostToAnother(read.val)
-          : forgottenCommit(expectedVersion + 1),
+        allAttemptsFailed
+          ? versionConflict(read.val)
+          : unknownOutcome(expectedVersion + 1),
       );
     case 'open':
       return undefined;
   }
 }
 
-/** Replaces the row, or finds out what became of the attempt. */
+/** Replaces the row, and resolves attempts whose outcome is unknown. */
 export function* replaceManifestRow(
   replacement: RowReplacement,
 ): CommitStep<undefined> {
@@ -76,12 +78,12 @@
     const isConflict = written.val.name === 'VERSION_CONFLICT';
     mayBeAccepted ||= written.val.outcome === 'unknown';
     if (isConflict || mayBeAccepted) {
-      const resolved = yield* resolveFate(replacement, !mayBeAccepted);
+      const resolved = yield* resolveAttempt(replacement, !mayBeAccepted);
       if (resolved !== undefined) {
         return resolved;
       }
     }
-    if (!(yield* calls.mayRepeat())) {
+    if (!(yield* calls.backOff())) {
       return Err(callFailed(written.val, mayBeAccepted));
     }
   }
--- a/packages/manifest/src/schema_check.ts
+++ b/packages/manifest/src/schema_check.ts
@@ -1,15 +1,15 @@
-/** Checks data by a zod schema and words its issues for findings. */
+/** Checks data against a zod schema and describes its issues for findings. */
 import {z} from 'zod';
 
 import {DataIssue, DataPath, describeValue} from './finding';
 
-/** The outcome of a check. */
+/** The result of a check. The value is undefined if there are issues. */
 export interface SchemaCheck<T> {
   readonly value: T | undefined;
   readonly issues: readonly DataIssue[];
 }
 
-const TYPE_WORDS: Readonly<Record<string, string>> = {
+const TYPE_DESCRIPTIONS: Readonly<Record<string, string>> = {
   string: 'a text',
   number: 'a number',
   int: 'a whole number',
@@ -24,11 +24,11 @@
     : 'no such key';
 }
 
-/** Words an issue for which the schema has no phrase of its own. */
+/** Describes an issue for which the schema has no message of its own. */
 function describeExpected(issue: z.core.$ZodRawIssue): string {
   switch (issue.code) {
     case 'invalid_type':
-      return TYPE_WORDS[issue.expected] ?? issue.expected;
+      return TYPE_DESCRIPTIONS[issue.expected] ?? issue.expected;
     case 'unrecognized_keys':
       return allowedKeys(issue.inst);
     case 'invalid_value':
@@ -63,8 +63,8 @@
   }));
 }
 
-/** Several checks of one value may say the same. */
-function withoutRepetition(issues: readonly DataIssue[]): DataIssue[] {
+/** Several checks of a value may report the same expectation. */
+function deduplicate(issues: readonly DataIssue[]): DataIssue[] {
   const byText = new Map<string, DataIssue>();
   for (const issue of issues) {
     byText.set(JSON.stringify([issue.path, issue.expected]), issue);
@@ -72,7 +72,7 @@
   return [...byText.values()];
 }
 
-/** Checks data; every issue is reported, and unknown keys one by one. */
+/** Checks data and reports every issue, with one issue per unknown key. */
 export function checkBySchema<T>(
   schema: z.ZodType<T>,
   data: unknown,
@@ -82,5 +82,5 @@
     return {value: parsed.data, issues: []};
   }
   const issues = parsed.error.issues.flatMap(toDataIssues);
-  return {value: undefined, issues: withoutRepetition(issues)};
+  return {value: undefined, issues: deduplicate(issues)};
 }
--- a/packages/manifest/src/settings_schema.ts
+++ b/packages/manifest/src/settings_schema.ts
@@ -1,4 +1,4 @@
-/** Schema of a proxy's settings; its types are inferred. */
+/** Schema of the settings of a proxy. Its types are inferred. */
 import {Result} from 'ts-results';
 import {z} from 'zod';
 
@@ -12,105 +12,105 @@
 } from './schema_parts';
 import {readYamlDocument} from './yaml_document';
 
-const SHORTEST_OPERATOR_TOKEN = 16;
-const LONGEST_OPERATOR_TOKEN = 200;
-const OPERATOR_TOKEN_TEXT = `a text of ${SHORTEST_OPERATOR_TOKEN} to ${LONGEST_OPERATOR_TOKEN} characters`;
+const MINIMUM_OPERATOR_TOKEN_LENGTH = 16;
+const MAXIMUM_OPERATOR_TOKEN_LENGTH = 200;
+const OPERATOR_TOKEN_DESCRIPTION = `a text of ${MINIMUM_OPERATOR_TOKEN_LENGTH} to ${MAXIMUM_OPERATOR_TOKEN_LENGTH} characters`;
 
-const SECOND = 1000;
-const MINUTE = 60 * SECOND;
+const SECOND_MS = 1000;
+const MINUTE_MS = 60 * SECOND_MS;
 const KIBIBYTE = 1024;
 const MEBIBYTE = 1024 * KIBIBYTE;
 
-/** Where the proxy listens. */
+/** Addresses on which the proxy listens. */
 export const listenAddressesSchema = z.strictObject({
-  /** HTTP for callers. */
+  /** Callers, over HTTP. */
   callers: addressSchema,
-  /** JSON-RPC over TCP for other proxies. */
+  /** Other proxies, JSON-RPC over TCP. */
   peers: addressSchema,
-  /** HTTP for operators: their methods, metrics and health. */
+  /** Operators, over HTTP: methods, metrics and health checks. */
   operators: addressSchema,
 });
 
-/** The platform's service. */
+/** Connection to the platform's service. */
 export const platformSettingsSchema = z.strictObject({
-  /** Tried in turn. */
+  /** Addresses of the service, tried in turn. */
   addresses: z.array(addressSchema).min(1),
-  /** Longest wait for one answer. */
-  requestTimeout: milliseconds(10, MINUTE).default(2 * SECOND),
-  /** Requests on their way at a time. */
+  /** Timeout of one request. */
+  requestTimeout: milliseconds(10, MINUTE_MS).default(2 * SECOND_MS),
+  /** Maximum number of requests in flight. */
   concurrentRequests: wholeNumber(1, 1000).default(8),
 });
 
-/** Bounds on what the proxy takes on. */
+/** Limits on the resources that callers and connections may use. */
 export const limitsSchema = z.strictObject({
-  /** Largest body of a caller's request, bytes. */
+  /** Maximum size of the body of a caller's request, in bytes. */
   maximumBodyBytes: wholeNumber(KIBIBYTE, 64 * MEBIBYTE).default(MEBIBYTE),
-  /** Largest message between proxies or from a target, bytes. */
+  /** Maximum size of a message between proxies or from a target, in bytes. */
   maximumFrameBytes: wholeNumber(64 * KIBIBYTE, 64 * MEBIBYTE).default(
     4 * MEBIBYTE,
   ),
   maximumCallerConnections: wholeNumber(1, 1_000_000).default(20_000),
-  /** Idle callers' connections are closed after this. */
-  callerIdleTimeout: milliseconds(SECOND).default(MINUTE),
-  /** Longest time from a request's first byte to its last. */
-  requestReadTimeout: milliseconds(100, MINUTE).default(10 * SECOND),
-  /** Idle connections to targets are closed after this. */
-  targetIdleTimeout: milliseconds(SECOND).default(MINUTE),
-  /** Transactions without a statement for this long are rolled back. */
-  transactionIdleTimeout: milliseconds(100).default(30 * SECOND),
-  /** Requests that wait for a target, per group. */
+  /** Time after which an idle connection of a caller is closed. */
+  callerIdleTimeout: milliseconds(SECOND_MS).default(MINUTE_MS),
+  /** Maximum time from the first byte of a request to its last. */
+  requestReadTimeout: milliseconds(100, MINUTE_MS).default(10 * SECOND_MS),
+  /** Time after which an idle connection to a target is closed. */
+  targetIdleTimeout: milliseconds(SECOND_MS).default(MINUTE_MS),
+  /** Time without a statement after which a transaction is rolled back. */
+  transactionIdleTimeout: milliseconds(100).default(30 * SECOND_MS),
+  /** Maximum number of requests per group that wait for a target. */
   queueLength: wholeNumber(1, 1_000_000).default(1000),
-  /** Longest deadline that a caller may ask for, from now. */
-  longestDeadline: milliseconds(SECOND).default(5 * MINUTE),
+  /** Maximum deadline that a caller may set, counted from now. */
+  longestDeadline: milliseconds(SECOND_MS).default(5 * MINUTE_MS),
   /**
    * Share of a target's connections that all proxies together use for
-   * requests; the rest is kept for control.
+   * requests. The rest is reserved for control connections.
    */
   targetConnectionShare: positiveNumber(1).default(0.9),
 });
 
-/** How often the proxy does what it does regularly. */
+/** Intervals and timeouts of the periodic tasks of the proxy. */
 export const intervalsSchema = z.strictObject({
-  /** Shortest time between heartbeats to the same peers. */
-  peerExchange: milliseconds(20, MINUTE).default(200),
-  /** Longest wait for a peer's answer to a heartbeat. */
-  peerExchangeTimeout: milliseconds(10, MINUTE).default(300),
-  /** Time that a silent peer has to refute the suspicion. */
-  peerSuspicion: milliseconds(10, MINUTE).default(400),
-  /** Heartbeats of targets' position streams. */
-  targetHeartbeat: milliseconds(10, MINUTE).default(100),
-  /** Reads of the platform's manifest row, by the proxies that poll it. */
-  manifestPoll: milliseconds(50, MINUTE).default(500),
-  /** Reads of the platform's list of instances, by the same. */
-  instancesPoll: milliseconds(50, MINUTE).default(1000),
-  /** Writes of audit entries and leaderships to the platform. */
-  auditFlush: milliseconds(50, MINUTE).default(SECOND),
+  /** Minimum time between heartbeats to the same peers. */
+  peerExchange: milliseconds(20, MINUTE_MS).default(200),
+  /** Timeout of a peer's answer to a heartbeat. */
+  peerExchangeTimeout: milliseconds(10, MINUTE_MS).default(300),
+  /** Time within which an unresponsive peer can refute the suspicion. */
+  peerSuspicion: milliseconds(10, MINUTE_MS).default(400),
+  /** Interval of the heartbeats in the log position streams of targets. */
+  targetHeartbeat: milliseconds(10, MINUTE_MS).default(100),
+  /** Interval of reads of the manifest row, on the proxies that poll it. */
+  manifestPoll: milliseconds(50, MINUTE_MS).default(500),
+  /** Interval of reads of the instance list, on the proxies that poll it. */
+  instancesPoll: milliseconds(50, MINUTE_MS).default(1000),
+  /** Interval of writes of audit entries and leaderships to the platform. */
+  auditFlush: milliseconds(50, MINUTE_MS).default(SECOND_MS),
 });
 
-const LOG_LEVEL_TEXT = 'debug, info, warn or error';
+const LOG_LEVEL_DESCRIPTION = 'debug, info, warn or error';
 
-/** Levels of log lines, the least important first. */
+/** Levels of log lines, from the least to the most severe. */
 export const logLevelSchema = z.enum(['debug', 'info', 'warn', 'error'], {
-  error: LOG_LEVEL_TEXT,
+  error: LOG_LEVEL_DESCRIPTION,
 });
 
 /** Settings of one proxy. */
 export const settingsSchema = z.strictObject({
-  /** Format of the settings. */
+  /** Format version of the settings file. */
   format: z.literal(1, {error: 'the format 1'}),
-  /** Id, unique among proxies. */
+  /** Id of the proxy, unique among all proxies. */
   proxy: nameSchema,
   dataCentre: nameSchema,
   addresses: listenAddressesSchema,
   platform: platformSettingsSchema,
-  /** Peer addresses of some other proxies. */
+  /** Peer addresses of some other proxies, used to discover the rest. */
   seeds: z.array(addressSchema).default([]),
-  /** Operators show it; compared in constant time. */
+  /** Bearer token of operators, compared in constant time. */
   operatorToken: z
-    .string({error: OPERATOR_TOKEN_TEXT})
-    .min(SHORTEST_OPERATOR_TOKEN, {error: OPERATOR_TOKEN_TEXT})
-    .max(LONGEST_OPERATOR_TOKEN, {error: OPERATOR_TOKEN_TEXT}),
-  /** The least important log lines that are written. */
+    .string({error: OPERATOR_TOKEN_DESCRIPTION})
+    .min(MINIMUM_OPERATOR_TOKEN_LENGTH, {error: OPERATOR_TOKEN_DESCRIPTION})
+    .max(MAXIMUM_OPERATOR_TOKEN_LENGTH, {error: OPERATOR_TOKEN_DESCRIPTION}),
+  /** Minimum level of the log lines that are written. */
   logLevel: logLevelSchema.default('info'),
   limits: limitsSchema.prefault({}),
   intervals: intervalsSchema.prefault({}),
@@ -119,7 +119,7 @@
 
 const MAXIMUM_SETTINGS_BYTES = 64 * KIBIBYTE;
 
-/** Reads settings; on errors every finding of the file is given. */
+/** Reads settings. Returns every finding of the file if there are errors. */
 export function readSettings(
   text: string,
   fileName: string,
--- a/packages/manifest/src/yaml_document.ts
+++ b/packages/manifest/src/yaml_document.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a YAML file by a schema and collects everything that is wrong with it,
- * each with its place in the text.
+ * Reads a YAML file, checks it against a schema and collects all findings with
+ * their locations in the text.
  */
 import {Err, Ok, Result} from 'ts-results';
 import {
@@ -26,51 +26,58 @@
 } from './finding';
 import {checkBySchema} from './schema_check';
 
-/** How a file is read. */
+/** Options for reading a file. */
 export interface YamlReadOptions {
-  /** A longer text is refused unread, bytes. */
+  /** Size in bytes above which a text is rejected without being parsed. */
   readonly maximumBytes?: number;
-  /** Top-level keys whose values findings must not show. */
+  /** Top-level keys whose values are never shown in findings. */
   readonly secretKeys?: readonly string[];
 }
 
-/** A file that was read. */
+/** The result of reading a file. */
 export interface YamlDocument<T> {
-  /** The value if the schema accepts it; there may be other findings. */
+  /** The value if it matches the schema, even if there are other findings. */
   readonly value: T | undefined;
-  /** The data as it stands in the file. */
+  /** The data in the file, before defaults are filled in. */
   readonly raw: unknown;
   readonly findings: readonly Finding[];
-  /** Locates something that further checks found. */
+  /** Locates an issue of a further check in the text. */
   locate(issue: DataIssue): Finding;
 }
 
-/** Largest file that is read by default, in bytes. */
+/** Default maximum size of a file, in bytes. */
 export const DEFAULT_MAXIMUM_FILE_BYTES = 1024 * 1024;
 
-const START = {line: 1, column: 1};
+const START_LOCATION = {line: 1, column: 1};
 
 function findingAtStart(
   file: string,
   expected: string,
   found: string,
 ): Finding {
-  return {severity: 'error', file, ...START, path: '', expected, found};
+  return {
+    severity: 'error',
+    file,
+    ...START_LOCATION,
+    path: '',
+    expected,
+    found,
+  };
 }
 
-/** Finds places of data in the text of a parsed document. */
+/** Maps data paths of a parsed document to locations in its text. */
 function createLocator(
   parsed: Document,
   lineCounter: LineCounter,
   file: string,
   options: YamlReadOptions,
 ) {
-  function placeAt(offset: number) {
+  function locationAt(offset: number) {
     const {line, col} = lineCounter.linePos(offset);
     return {line: Math.max(line, 1), column: Math.max(col, 1)};
   }
 
-  /** Collections are placed at their key, which is what one looks for. */
+  /** Collections are located at their key, as that is what readers look for. */
   function offsetOf(path: DataPath, atKey: boolean): number | undefined {
     const last = path[path.length - 1];
     const parent = parsed.getIn(path.slice(0, -1), true);
@@ -85,19 +92,19 @@
     return isNode(node) ? node.range?.[0] : undefined;
   }
 
-  /** A value that is missing is placed where its parent begins. */
-  function placeOf(path: DataPath, atKey = false) {
+  /** A missing value is located at the start of its nearest parent. */
+  function locationOf(path: DataPath, atKey = false) {
     for (let length = path.length; length > 0; length--) {
       const offset = offsetOf(path.slice(0, length), atKey);
       if (offset !== undefined) {
-        return placeAt(offset);
+        return locationAt(offset);
       }
     }
     const offset = parsed.contents?.range?.[0];
-    return offset === undefined ? START : placeAt(offset);
+    return offset === undefined ? START_LOCATION : locationAt(offset);
   }
 
-  function foundAt(path: DataPath): string {
+  function describeFound(path: DataPath): string {
     const value = parsed.getIn(path);
     const isSecret =
       options.secretKeys?.includes(String(path[0])) && path.length > 0;
@@ -114,10 +121,10 @@
     return {
       severity: issue.severity ?? 'error',
       file,
-      ...placeOf(issue.path, issue.atKey),
+      ...locationOf(issue.path, issue.atKey),
       path: formatPath(issue.path),
       expected: issue.expected,
-      found: issue.found ?? foundAt(issue.path),
+      found: issue.found ?? describeFound(issue.path),
     };
   }
 
@@ -125,7 +132,7 @@
     return {
       severity: 'error',
       file,
-      ...placeAt(error.pos[0]),
+      ...locationAt(error.pos[0]),
       path: '',
       expected: 'valid YAML',
       found: error.message,
@@ -139,7 +146,7 @@
         findings.push({
           severity: 'error',
           file,
-          ...placeAt(node.range?.[0] ?? 0),
+          ...locationAt(node.range?.[0] ?? 0),
           path: '',
           expected: 'no alias',
           found: `*${node.source}`,
@@ -152,8 +159,8 @@
   return {locate, locateSyntaxError, aliasFindings};
 }
 
-/** Schema findings after these would only repeat what the parser said. */
-function stopsReading(error: YAMLError): boolean {
+/** Schema findings after such an error would only repeat those of the parser. */
+function isFatal(error: YAMLError): boolean {
   return error.code !== 'DUPLICATE_KEY';
 }
 
@@ -172,8 +179,8 @@
     ...locator.aliasFindings(),
   ];
   const {locate} = locator;
-  // Aliases may multiply the data, so it isn't expanded if there are any.
-  if (errors.some(stopsReading) || findings.length > errors.length) {
+  // Aliases can multiply the size of the data, so it isn't expanded.
+  if (errors.some(isFatal) || findings.length > errors.length) {
     return {value: undefined, raw: undefined, findings, locate};
   }
   const raw: unknown = parsed.toJS();
@@ -182,14 +189,14 @@
   return {value: checked.value, raw, findings, locate};
 }
 
-/** Reads a file for further checks: they add findings of their own. */
+/** Reads a file for further checks, which add their own findings. */
 export function openYamlDocument<T>(
   text: string,
   file: string,
   schema: z.ZodType<T>,
   options: YamlReadOptions = {},
 ): YamlDocument<T> {
-  function refuse(expected: string, found: string): YamlDocument<T> {
+  function reject(expected: string, found: string): YamlDocument<T> {
     const finding = findingAtStart(file, expected, found);
     const locate = (issue: DataIssue) =>
       findingAtStart(file, issue.expected, issue.found ?? '');
@@ -199,17 +206,17 @@
   const maximumBytes = options.maximumBytes ?? DEFAULT_MAXIMUM_FILE_BYTES;
   const bytes = Buffer.byteLength(text);
   if (bytes > maximumBytes) {
-    return refuse(`at most ${maximumBytes} bytes`, `${bytes} bytes`);
+    return reject(`at most ${maximumBytes} bytes`, `${bytes} bytes`);
   }
   try {
     return readParsed(text, file, schema, options);
   } catch (error) {
-    // The parser descends by recursion: absurdly deep nesting ends here.
-    return refuse('YAML that can be read', String(error));
+    // The parser is recursive: very deep nesting overflows its stack.
+    return reject('YAML that can be read', String(error));
   }
 }
 
-/** Reads a file by a schema; every finding of the file is reported. */
+/** Reads a file. Returns every finding of the file if there are errors. */
 export function readYamlDocument<T>(
   text: string,
   file: string,
--- a/packages/proxy/src/create_proxy.ts
+++ b/packages/proxy/src/create_proxy.ts
@@ -108,7 +108,7 @@
     hooks: {
       ready: () => unreadyReason() === undefined,
       manifestVersion: () => manifests.version(),
-      heardManifest: (version, from) => manifests.heard(version, from.address),
+      heardManifest: (version, from) => manifests.notePeerVersion(version, from.address),
       heardLeadership,
     },
     paceBase: {
@@ -199,7 +199,7 @@
   function isManifestCurrent(): boolean {
     const isCurrent = manifests.age() <= MANIFEST_KNOWN_WITHIN;
     if (!isCurrent) {
-      manifests.confirm();
+      manifests.refresh();
     }
     return isCurrent;
   }
--- a/packages/proxy/src/operator_handlers.ts
+++ b/packages/proxy/src/operator_handlers.ts
@@ -2,7 +2,7 @@
 import type {GroupDirectory, GroupView} from '@kelpstep/failover';
 import {
   AcceptedManifest,
-  ManifestKeeper,
+  ManifestSynchronizer,
   commitManifest,
 } from '@kelpstep/manifest';
 import type {AuditTrail} from '@kelpstep/observability';
@@ -32,7 +32,7 @@
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
   readonly self: ProxyIdentity;
-  readonly manifests: ManifestKeeper;
+  readonly manifests: ManifestSynchronizer;
   readonly groups: GroupDirectory;
   readonly requests: RequestService;
   readonly audit: AuditTrail;
