--- a/packages/manifest/__tests__/commit_manifest.spec.ts
+++ b/packages/manifest/__tests__/commit_manifest.spec.ts
@@ -185,7 +185,7 @@
 ];
 
 /** Runs concurrent commits of several operators on a faulty platform. */
-function race(seed: number) {
+function runConcurrentCommits(seed: number) {
   const random = createRandom(seed);
   const bench = createFixture(seed, () => random.pick(FAULTS));
   const answers = new Map<string, CommitResult>();
@@ -211,7 +211,7 @@
   test('report accepted only if they won and not run only if they lost', () => {
     const outcomes = {accepted: 0, lost: 0, unknown: 0};
     for (let seed = 1; seed <= 200; seed++) {
-      const {answers, winners} = race(seed);
+      const {answers, winners} = runConcurrentCommits(seed);
       expect(answers.size).toEqual(12);
       for (const [commitId, result] of answers) {
         const won = winners.indexOf(commitId);
--- a/packages/manifest/__tests__/fake_platform.ts
+++ b/packages/manifest/__tests__/fake_platform.ts
@@ -115,7 +115,7 @@
   duration: Milliseconds,
 ): Future<void> {
   return runtime.spawn(
-    'pause',
+    'delay',
     (function* () {
       yield* perform(delay(duration));
     })(),
--- a/packages/manifest/__tests__/read_manifest.spec.ts
+++ b/packages/manifest/__tests__/read_manifest.spec.ts
@@ -64,8 +64,8 @@
     const syntax = linesFor('format: 1\n\tservice: x\na: [1, 2\nb: "x');
     expect(syntax.length).toBeGreaterThan(1);
     const repeated = linesFor('format: 1\nformat: 2\nservice: 7\n');
-    const places = repeated.map(line => line.split(' ')[0]);
-    expect(places).toEqual(expect.includes('file.yaml:2:1:'));
+    const locations = repeated.map(line => line.split(' ')[0]);
+    expect(locations).toEqual(expect.includes('file.yaml:2:1:'));
     expect(repeated.join('\n')).toEqual(expect.includes('service: expected'));
   });
 
