--- a/packages/proxy/__tests__/bad_input.spec.ts
+++ b/packages/proxy/__tests__/bad_input.spec.ts
@@ -13,10 +13,10 @@
 
 function startProxy() {
   const system = startVirtualProxies();
-  const {a, ask, commit, waitUntil, timer} = system;
+  const {a, call, commit, waitUntil, timer} = system;
   commit(0).unwrap();
   const first = {group: GROUP, statement: STATEMENT, token: ''};
-  waitUntil(() => ask(a.callerHandlers, write, first).ok);
+  waitUntil(() => call(a.callerHandlers, write, first).ok);
   const dispatch = createJsonRpcDispatcher({
     handlers: a.callerHandlers,
     maximumBatch: 10,
@@ -30,7 +30,7 @@
     return JSON.parse(bodies[0] ?? 'null');
   }
 
-  /** Writes that were run so far, as the primary has them. */
+  /** Returns the number of writes that the primary has run so far. */
   function entries(): number {
     const counts = system.databases.map(
       ({control}) =>
@@ -42,25 +42,28 @@
   return {...system, answerTo, entries};
 }
 
-describe('a proxy that gets bad input', () => {
-  test('names what is wrong, runs nothing and goes on', () => {
+describe('a proxy that gets invalid input', () => {
+  test('reports the error, runs nothing and keeps serving', () => {
     const {answerTo, entries, timer} = startProxy();
-    const sound = {group: GROUP, statement: STATEMENT};
+    const validParameters = {group: GROUP, statement: STATEMENT};
     const now = timer.wallClock();
     const day = 86_400_000;
     const wrong: Array<[unknown, ErrorName]> = [
-      [{...sound, group: 'nothing'}, 'UNKNOWN_GROUP'],
-      [{...sound, kind: 'nothing'}, 'UNKNOWN_KIND'],
-      [{...sound, token: 'nonsense'}, 'BAD_TOKEN'],
-      [{...sound, token: 'A'.repeat(4096)}, 'BAD_TOKEN'],
-      [{...sound, token: 'A'.repeat(4097)}, 'INVALID_PARAMETERS'],
-      [{...sound, deadline: now - 1}, 'DEADLINE_PASSED'],
-      [{...sound, key: {id: 'k'}}, 'INVALID_PARAMETERS'],
-      [{...sound, key: {id: 'k', issuedAt: now + day}}, 'KEY_FROM_FUTURE'],
-      [{...sound, transaction: 'nonsense'}, 'TRANSACTION_UNKNOWN'],
-      [{...sound, surprise: true}, 'INVALID_PARAMETERS'],
-      [{...sound, statement: {text: ''}}, 'INVALID_PARAMETERS'],
-      [{...sound, statement: {text: 'drop'}}, 'STATEMENT_FAILED'],
+      [{...validParameters, group: 'nothing'}, 'UNKNOWN_GROUP'],
+      [{...validParameters, kind: 'nothing'}, 'UNKNOWN_KIND'],
+      [{...validParameters, token: 'nonsense'}, 'BAD_TOKEN'],
+      [{...validParameters, token: 'A'.repeat(4096)}, 'BAD_TOKEN'],
+      [{...validParameters, token: 'A'.repeat(4097)}, 'INVALID_PARAMETERS'],
+      [{...validParameters, deadline: now - 1}, 'DEADLINE_PASSED'],
+      [{...validParameters, key: {id: 'k'}}, 'INVALID_PARAMETERS'],
+      [
+        {...validParameters, key: {id: 'k', issuedAt: now + day}},
+        'KEY_FROM_FUTURE',
+      ],
+      [{...validParameters, transaction: 'nonsense'}, 'TRANSACTION_UNKNOWN'],
+      [{...validParameters, surprise: true}, 'INVALID_PARAMETERS'],
+      [{...validParameters, statement: {text: ''}}, 'INVALID_PARAMETERS'],
+      [{...validParameters, statement: {text: 'drop'}}, 'STATEMENT_FAILED'],
       [[GROUP], 'INVALID_PARAMETERS'],
     ];
     const before = entries();
@@ -70,22 +73,22 @@
       expect([params, error.data.outcome]).toEqual([params, 'not_run']);
     }
     expect(entries()).toEqual(before);
-    expect(answerTo('write', sound).result.duplicate).toEqual(false);
+    expect(answerTo('write', validParameters).result.duplicate).toEqual(false);
   });
 
-  test('runs nothing for an expired key but leaves the past open', () => {
+  test('runs nothing for an expired key and reports an unknown outcome', () => {
     const {answerTo, entries, timer} = startProxy();
     const before = entries();
     const key = {id: 'k', issuedAt: timer.wallClock() - 2 * 86_400_000};
     const params = {group: GROUP, statement: STATEMENT, key};
     const {error} = answerTo('write', params);
-    // An earlier sending with the key may have run and been forgotten.
+    // An earlier request with the key may have run, and its key been removed.
     expect(error.data.name).toEqual('KEY_EXPIRED');
     expect(error.data.outcome).toEqual('unknown');
     expect(entries()).toEqual(before);
   });
 
-  test('refuses any token that it did not make, and never throws', () => {
+  test('rejects any token that it did not issue, and never throws', () => {
     const {answerTo, entries} = startProxy();
     const before = entries();
     const token = fc.oneof(
--- a/packages/proxy/__tests__/create_proxy.spec.ts
+++ b/packages/proxy/__tests__/create_proxy.spec.ts
@@ -3,23 +3,23 @@
 import {describe, test} from 'node:test';
 
 import {auditList, proxyStatus} from '..';
-import {ACCEPT_TIME, GROUP, startVirtualProxies} from './virtual_proxies';
+import {ACCEPT_TIME_MS, GROUP, startVirtualProxies} from './virtual_proxies';
 
 const {read, write, begin} = CALLER_METHODS;
 const STATEMENT = {text: 'set ? ?', parameters: ['page', 'text']};
 
-function startWithManifest() {
+function startProxiesWithManifest() {
   const system = startVirtualProxies();
-  const {a, b, commit, waitUntil, ask} = system;
+  const {a, b, commit, waitUntil, call} = system;
   commit(0).unwrap();
   waitUntil(() => b.manifestVersion() === 1);
   const request = {group: GROUP, statement: STATEMENT, token: ''};
-  waitUntil(() => ask(a.callerHandlers, write, request).ok);
+  waitUntil(() => call(a.callerHandlers, write, request).ok);
   return system;
 }
 
 describe('a proxy', () => {
-  test('is ready once a manifest is in force, also by its peer', () => {
+  test('is ready once a manifest is in force, even if it comes from a peer', () => {
     const {a, b, commit, waitUntil} = startVirtualProxies();
     waitUntil(() => a.unreadyReason() === 'no manifest');
     commit(0).unwrap();
@@ -27,10 +27,10 @@
     expect(waitUntil(() => b.unreadyReason() === undefined)).toEqual(true);
   });
 
-  test('tells groups, members and its primary', () => {
-    const {b, ask, waitUntil} = startWithManifest();
+  test('reports groups with their members and primary', () => {
+    const {b, call, waitUntil} = startProxiesWithManifest();
     const describeGroup = () =>
-      ask(b.operatorHandlers, proxyStatus, {}).unwrap().groups[0];
+      call(b.operatorHandlers, proxyStatus, {}).unwrap().groups[0];
     waitUntil(() => describeGroup()?.leadership !== undefined);
     const group = describeGroup();
     expect(group?.group).toEqual(GROUP);
@@ -42,11 +42,11 @@
   });
 
   test('counts reads by role and requests by kind', () => {
-    const {a, ask} = startWithManifest();
+    const {a, call} = startProxiesWithManifest();
     const statement = {text: 'get ?', parameters: ['page']};
     for (const kind of ['page-view', undefined]) {
       const request = {group: GROUP, statement, token: '', ...(kind && {kind})};
-      ask(a.callerHandlers, read, request).unwrap();
+      call(a.callerHandlers, read, request).unwrap();
     }
     const text = a.renderMetrics();
     const count = 'kelpstep_request_duration_seconds_count';
@@ -56,17 +56,17 @@
     expect(text).toMatchRegex(/kelpstep_reads_served_total\{role="\w+"\} [12]/);
   });
 
-  test('keeps a trail of commits and changes of primary', () => {
-    const {a, ask, commit, network, targetHost, timer, waitUntil} =
-      startWithManifest();
-    const status = () => ask(a.operatorHandlers, proxyStatus, {}).unwrap();
+  test('records commits and changes of primary in the audit trail', () => {
+    const {a, call, commit, network, targetHost, timer, waitUntil} =
+      startProxiesWithManifest();
+    const status = () => call(a.operatorHandlers, proxyStatus, {}).unwrap();
     const leader = () => status().groups[0]?.leadership?.primary;
     commit(0);
     const lost = leader();
     network.killHost(targetHost(Number(lost?.at(-1)) - 1));
     waitUntil(() => leader() !== undefined && leader() !== lost);
     timer.advance(2000);
-    const page = ask(a.operatorHandlers, auditList, {after: '', limit: 100});
+    const page = call(a.operatorHandlers, auditList, {after: '', limit: 100});
     const trail = page
       .unwrap()
       .entries.map(({what, from, outcome}) => `${what}, ${from}: ${outcome}`);
@@ -75,17 +75,17 @@
     expect(trail.join()).toInclude(`primary of rules, ${lost}: confirmed`);
   });
 
-  test('stops gracefully: accepts on, then refuses, then ends', () => {
-    const {a, b, ask, settle, timer, waitUntil} = startWithManifest();
+  test('stops gracefully: first accepts requests, then refuses them, then ends', () => {
+    const {a, b, call, settle, timer, waitUntil} = startProxiesWithManifest();
     const request = {group: GROUP, statement: STATEMENT, token: ''};
-    const begun = ask(a.callerHandlers, begin, {group: GROUP}).unwrap();
+    const begun = call(a.callerHandlers, begin, {group: GROUP}).unwrap();
     const startedAt = timer.now();
     const stopped = a.stop();
-    const accepted = ask(a.callerHandlers, write, request);
-    timer.advance(startedAt + ACCEPT_TIME + 1 - timer.now());
-    const refused = ask(a.callerHandlers, write, request);
+    const accepted = call(a.callerHandlers, write, request);
+    timer.advance(startedAt + ACCEPT_TIME_MS + 1 - timer.now());
+    const refused = call(a.callerHandlers, write, request);
     const isOpen = !stopped.isSettled();
-    const within = ask(a.callerHandlers, write, {
+    const within = call(a.callerHandlers, write, {
       ...request,
       transaction: begun.transaction,
     });
@@ -97,22 +97,22 @@
     expect(isOpen).toEqual(true);
     expect(within.ok).toEqual(true);
     a.close();
-    expect(waitUntil(() => ask(b.callerHandlers, write, request).ok)).toEqual(
+    expect(waitUntil(() => call(b.callerHandlers, write, request).ok)).toEqual(
       true,
     );
   });
 
-  test('serves on and keeps its trail while the platform is out', () => {
-    const {a, ask, commit, platform, timer} = startWithManifest();
+  test('keeps serving and keeps its audit entries during a platform outage', () => {
+    const {a, call, commit, platform, timer} = startProxiesWithManifest();
     timer.advance(2000);
     platform.configure({outage: 'unavailable'});
     commit(0);
     const request = {group: GROUP, statement: STATEMENT, token: ''};
-    const written = ask(a.callerHandlers, write, request);
-    const {audit} = ask(a.operatorHandlers, proxyStatus, {}).unwrap();
+    const written = call(a.callerHandlers, write, request);
+    const {audit} = call(a.operatorHandlers, proxyStatus, {}).unwrap();
     platform.configure({outage: 'none'});
     timer.advance(20_000);
-    const after = ask(a.operatorHandlers, proxyStatus, {}).unwrap().audit;
+    const after = call(a.operatorHandlers, proxyStatus, {}).unwrap().audit;
     expect(written.ok).toEqual(true);
     expect(audit.pending > 0).toEqual(true);
     expect(after).toEqual({pending: 0, dropped: 0});
--- a/packages/proxy/__tests__/end_to_end.spec.ts
+++ b/packages/proxy/__tests__/end_to_end.spec.ts
@@ -22,10 +22,10 @@
 
 const GROUP = 'logbook';
 const MEMBERS = ['logbook-1', 'logbook-2', 'logbook-3'];
-const LAG_MILLISECONDS = '30';
-const TIMEOUT = 10_000;
-const IDLE_CONNECTIONS = 10_000;
-const READERS = 8;
+const LAG_MS = '30';
+const TIMEOUT_MS = 10_000;
+const IDLE_CONNECTION_COUNT = 10_000;
+const READER_COUNT = 8;
 const {read, write, begin, commit} = CALLER_METHODS;
 
 function manifestOf(addresses: readonly string[], readStaleness: number) {
@@ -51,16 +51,23 @@
   });
 }
 
-function callers({callers: address}: ProxyProcess): HttpClient {
-  return createHttpClient({address, timeout: TIMEOUT});
+function callerClient({callers: address}: ProxyProcess): HttpClient {
+  return createHttpClient({address, timeout: TIMEOUT_MS});
 }
 
-function operators({operators: address}: ProxyProcess): HttpClient {
-  return createHttpClient({address, token: OPERATOR_TOKEN, timeout: TIMEOUT});
+function operatorClient({operators: address}: ProxyProcess): HttpClient {
+  return createHttpClient({
+    address,
+    token: OPERATOR_TOKEN,
+    timeout: TIMEOUT_MS,
+  });
 }
 
-/** Repeats what was not run and may succeed later, as callers do. */
-function persist<T>(what: string, send: () => Promise<Result<T, Failure>>) {
+/** Retries requests that were not run or may be retried, as callers do. */
+function retryUntilOk<T>(
+  what: string,
+  send: () => Promise<Result<T, Failure>>,
+) {
   return eventually(what, async () => {
     const reply = await send();
     if (reply.ok) {
@@ -78,8 +85,8 @@
   method: Method<P, R>,
   parameters: P,
 ): Promise<R> {
-  const client = callers(proxy);
-  return persist(method.name, () => client.request(method, parameters));
+  const client = callerClient(proxy);
+  return retryUntilOk(method.name, () => client.request(method, parameters));
 }
 
 function readFrom(
@@ -91,7 +98,7 @@
   return send(proxy, read, {group: GROUP, statement, ...options});
 }
 
-/** Reads until a replica serves. */
+/** Repeats a read until a replica serves it. */
 function readFromReplica(
   proxy: ProxyProcess,
   name: string,
@@ -108,7 +115,7 @@
 }
 
 async function commitManifest(proxy: ProxyProcess, body: string, from: number) {
-  const committed = await operators(proxy).request(manifestCommit, {
+  const committed = await operatorClient(proxy).request(manifestCommit, {
     body,
     fileName: 'logbook.yaml',
     expectedVersion: from,
@@ -118,9 +125,9 @@
   return committed.unwrap().version;
 }
 
-function untilInForce(proxy: ProxyProcess, version: number) {
+function waitUntilInForce(proxy: ProxyProcess, version: number) {
   return eventually(`version ${version} in force`, async () => {
-    const status = await operators(proxy).request(proxyStatus, {});
+    const status = await operatorClient(proxy).request(proxyStatus, {});
     const seen = status.ok ? status.val.manifest.version : 0;
     return seen === version ? seen : undefined;
   });
@@ -138,7 +145,7 @@
       MEMBERS.map(id =>
         processes.startStandIn([
           ...['database', '--id', id],
-          ...['--lag', LAG_MILLISECONDS],
+          ...['--lag', LAG_MS],
         ]),
       ),
     );
@@ -149,12 +156,12 @@
     );
     [a, b] = proxies as [ProxyProcess, ProxyProcess];
     await commitManifest(a, manifestOf(databases, 2000), 0);
-    await Promise.all([untilInForce(a, 1), untilInForce(b, 1)]);
+    await Promise.all([waitUntilInForce(a, 1), waitUntilInForce(b, 1)]);
   });
 
   after(() => processes.end());
 
-  test('read at B, from a replica, what a session wrote at A', async () => {
+  test('serve at B, from a replica, what a session wrote at A', async () => {
     const statement = setStatement('flow', '12');
     const written = await send(a, write, {group: GROUP, statement, token: ''});
     const {token} = written;
@@ -164,7 +171,7 @@
     expect(replica.rows).toEqual([['12']]);
   });
 
-  test('serve a read of a stated age from a replica, within it', async () => {
+  test('serve a read from a replica within its staleness bound', async () => {
     const answer = await readFromReplica(a, 'flow', {
       token: '',
       maximumAge: 1000,
@@ -172,7 +179,7 @@
     expect(answer.age <= 1000).toEqual(true);
   });
 
-  test('go on at B with a transaction that began at A', async () => {
+  test('continue at B a transaction that began at A', async () => {
     const {transaction, token} = await send(a, begin, {group: GROUP});
     const statement = setStatement('sludge', '3');
     const inside = {group: GROUP, transaction, token};
@@ -184,7 +191,7 @@
     expect(seen.rows).toEqual([['3']]);
   });
 
-  test('run a keyed write once though it is sent twice', async () => {
+  test('run a write with an idempotency key once when it is sent twice', async () => {
     const request = {
       group: GROUP,
       kind: 'entry',
@@ -202,17 +209,17 @@
     expect(listed.rows).toEqual([[40]]);
   });
 
-  test('put a manifest in force on both and refuse a late commit', async () => {
+  test('put a manifest in force on both proxies and reject a late commit', async () => {
     const body = manifestOf(databases, 3000);
     const late = commitManifest(b, manifestOf(databases, 4000), 0);
     await expect(late).toBeRejected();
     expect(await commitManifest(b, body, 1)).toEqual(2);
-    await Promise.all([untilInForce(a, 2), untilInForce(b, 2)]);
+    await Promise.all([waitUntilInForce(a, 2), waitUntilInForce(b, 2)]);
   });
 
-  test('serve others while ten thousand connections idle', async () => {
+  test('serve requests while ten thousand connections are idle', async () => {
     const {host, port} = parseAddress(b.callers);
-    const sockets = Array.from({length: IDLE_CONNECTIONS}, () => {
+    const sockets = Array.from({length: IDLE_CONNECTION_COUNT}, () => {
       const socket = connect({host, port});
       socket.on('error', () => {});
       return socket;
@@ -223,30 +230,33 @@
     expect(answer.rows).toEqual([['12']]);
   });
 
-  test('stop with code 0 and cut off no request in flight', async () => {
+  test('stop with exit code 0 and interrupt no request in flight', async () => {
     const statement = {text: 'get ?', parameters: ['flow']};
     const request = {group: GROUP, statement, maximumAge: 5000};
     const failures: string[] = [];
     let answers = 0;
 
-    /** Moves to the other proxy when the first one says that it stops. */
+    /** Switches to the other proxy when the first one is stopping. */
     async function keepReading(): Promise<void> {
-      const client = callers(a);
+      const client = callerClient(a);
       let reply = await client.request(read, request);
       while (reply.ok) {
         answers++;
         reply = await client.request(read, request);
       }
       failures.push(reply.val.name);
-      (await callers(b).request(read, request)).unwrap();
+      (await callerClient(b).request(read, request)).unwrap();
     }
 
-    const load = Array.from({length: READERS}, keepReading);
-    await eventually('answers', async () => answers > READERS || undefined);
+    const load = Array.from({length: READER_COUNT}, keepReading);
+    await eventually(
+      'answers',
+      async () => answers > READER_COUNT || undefined,
+    );
     a.child.kill('SIGTERM');
     const exitCode = await a.exited;
     await Promise.all(load);
     expect(exitCode).toEqual(0);
-    expect(failures).toEqual(Array(READERS).fill('STOPPING'));
+    expect(failures).toEqual(Array(READER_COUNT).fill('STOPPING'));
   });
 });
--- a/packages/proxy/__tests__/http_servers.spec.ts
+++ b/packages/proxy/__tests__/http_servers.spec.ts
@@ -11,7 +11,7 @@
 import {describe, test} from 'node:test';
 import {Err, Ok} from 'ts-results';
 
-import {HttpLimits, startCallerEdge, startOperatorEdge} from '..';
+import {HttpLimits, startCallerServer, startOperatorServer} from '..';
 
 const ADDRESS = '127.0.0.1:0';
 const LIMITS: HttpLimits = {
@@ -27,7 +27,7 @@
   params: {group: 'handbook'},
 };
 
-async function startCallers(limits: Partial<HttpLimits> = {}) {
+async function startTestCallerServer(limits: Partial<HttpLimits> = {}) {
   const held = createDeferred<Reply<{token: string}>>();
   const handlers = createHandlerTable()
     .handle(CALLER_METHODS.begin, ({group}) =>
@@ -37,7 +37,7 @@
     )
     .handle(CALLER_METHODS.rollback, () => held.future);
   const started = await promiseFromFuture(
-    startCallerEdge({
+    startCallerServer({
       address: ADDRESS,
       limits: {...LIMITS, ...limits},
       timer: createRealTimer(),
@@ -48,9 +48,9 @@
   return {server: started.unwrap(), held};
 }
 
-async function startOperators(unready?: string) {
+async function startTestOperatorServer(unready?: string) {
   const started = await promiseFromFuture(
-    startOperatorEdge({
+    startOperatorServer({
       address: ADDRESS,
       limits: LIMITS,
       timer: createRealTimer(),
@@ -75,14 +75,14 @@
   return new Promise(resolve => socket.once('connect', () => resolve(socket)));
 }
 
-function closing(socket: Socket): Promise<void> {
+function waitForClose(socket: Socket): Promise<void> {
   socket.resume();
   return new Promise(resolve => socket.once('close', () => resolve()));
 }
 
-describe("the callers' port", () => {
-  test('answers with status 200 and a length', async () => {
-    const {server} = await startCallers();
+describe("the callers' server", () => {
+  test('responds with status 200 and a content length', async () => {
+    const {server} = await startTestCallerServer();
     const response = await post(server.address, JSON.stringify(BEGIN));
     const body = await response.text();
     await promiseFromFuture(server.close());
@@ -91,8 +91,8 @@
     expect(JSON.parse(body).result.transaction).toEqual('t');
   });
 
-  test('tells when to come back, in seconds, rounded up', async () => {
-    const {server} = await startCallers();
+  test('sends retry-after in seconds, rounded up', async () => {
+    const {server} = await startTestCallerServer();
     const request = {...BEGIN, params: {group: 'full'}};
     const response = await post(server.address, JSON.stringify(request));
     await promiseFromFuture(server.close());
@@ -100,8 +100,8 @@
     expect(response.headers.get('retry-after')).toEqual('2');
   });
 
-  test('refuses a body above the limit as not run, and goes on', async () => {
-    const {server} = await startCallers();
+  test('rejects a body above the limit as not run and keeps serving', async () => {
+    const {server} = await startTestCallerServer();
     const response = await post(server.address, 'x'.repeat(20_000));
     const {error} = JSON.parse(await response.text());
     const next = await post(server.address, JSON.stringify(BEGIN));
@@ -115,31 +115,31 @@
     expect(next.status).toEqual(200);
   });
 
-  test('closes a connection that falls silent within a request', async () => {
-    const {server} = await startCallers();
+  test('closes a connection on which a request stays incomplete', async () => {
+    const {server} = await startTestCallerServer();
     const socket = await openSocket(server.address);
     socket.write('POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{');
-    await closing(socket);
+    await waitForClose(socket);
     await promiseFromFuture(server.close());
     expect(server.connections()).toEqual(0);
   });
 
   test('closes connections above the limit and serves the others', async () => {
-    const {server} = await startCallers({maximumConnections: 2});
+    const {server} = await startTestCallerServer({maximumConnections: 2});
     const first = await openSocket(server.address);
     await openSocket(server.address);
     const third = await openSocket(server.address);
-    await closing(third);
+    await waitForClose(third);
     first.destroy();
-    await closing(first);
+    await waitForClose(first);
     const response = await post(server.address, JSON.stringify(BEGIN));
     const stopped = promiseFromFuture(server.close());
     expect(response.status).toEqual(200);
     await stopped;
   });
 
-  test('answers what is in flight before it closes', async () => {
-    const {server, held} = await startCallers();
+  test('answers the requests in flight before it closes', async () => {
+    const {server, held} = await startTestCallerServer();
     const rollback = {
       ...BEGIN,
       method: 'rollback',
@@ -161,9 +161,9 @@
   });
 });
 
-describe("the operators' port", () => {
-  test('serves probes and metrics without a token', async () => {
-    const server = await startOperators('no manifest');
+describe("the operators' server", () => {
+  test('serves health checks and metrics without a token', async () => {
+    const server = await startTestOperatorServer('no manifest');
     const paths = ['healthz', 'readyz', 'metrics', 'nothing'];
     const responses = await Promise.all(
       paths.map(path => fetch(`http://${server.address}/${path}`)),
@@ -175,8 +175,8 @@
     expect(texts[2]).toEqual('kelpstep_test 1\n');
   });
 
-  test('carries methods only for the token', async () => {
-    const server = await startOperators();
+  test('serves methods only with the token', async () => {
+    const server = await startTestOperatorServer();
     const body = JSON.stringify(BEGIN);
     const tokens = [undefined, '', 'secre', 'secret1', 'secret'];
     const statuses = [];
--- a/packages/proxy/__tests__/json_rpc_dispatcher.spec.ts
+++ b/packages/proxy/__tests__/json_rpc_dispatcher.spec.ts
@@ -6,12 +6,12 @@
 import {describe, test} from 'node:test';
 import {Err, Ok} from 'ts-results';
 
-import {EncodedAnswer, createJsonRpcDispatcher} from '..';
+import {EncodedResponse, createJsonRpcDispatcher} from '..';
 
 const SEED = 7;
 const RUNS = 2000;
 
-function createAnswering() {
+function createFixture() {
   const calls: string[] = [];
   const held = createDeferred<Reply<{token: string}>>();
   const handlers = createHandlerTable()
@@ -27,18 +27,18 @@
     });
   const dispatch = createJsonRpcDispatcher({handlers, maximumBatch: 3});
 
-  function answersTo(body: string): EncodedAnswer[] {
-    const answers: EncodedAnswer[] = [];
+  function respondTo(body: string): EncodedResponse[] {
+    const answers: EncodedResponse[] = [];
     dispatch(body, answer => answers.push(answer));
     return answers;
   }
 
   function answerTo(body: unknown) {
-    const [answer] = answersTo(JSON.stringify(body));
+    const [answer] = respondTo(JSON.stringify(body));
     return JSON.parse(answer?.body ?? 'null');
   }
 
-  return {calls, held, answersTo, answerTo};
+  return {calls, held, respondTo, answerTo};
 }
 
 function begin(id: unknown, group: unknown) {
@@ -46,8 +46,8 @@
 }
 
 describe('the JSON-RPC dispatcher', () => {
-  test('answers a request with its own id', () => {
-    const {answerTo} = createAnswering();
+  test('answers a request with the id of the request', () => {
+    const {answerTo} = createFixture();
     expect(answerTo(begin('r1', 'a'))).toEqual({
       jsonrpc: '2.0',
       id: 'r1',
@@ -55,15 +55,15 @@
     });
   });
 
-  test('gives each request of a batch its answer, whatever the order', () => {
-    const {answersTo, held} = createAnswering();
+  test('answers every request of a batch, in any order', () => {
+    const {respondTo, held} = createFixture();
     const rollback = {
       jsonrpc: '2.0',
       id: 1,
       method: 'rollback',
       params: {group: 'a', transaction: 't'},
     };
-    const answers = answersTo(JSON.stringify([rollback, begin(2, 'b')]));
+    const answers = respondTo(JSON.stringify([rollback, begin(2, 'b')]));
     expect(answers).toEqual([]);
     held.settle(Ok({token: 'late'}));
     const replies = JSON.parse(answers[0]?.body ?? 'null');
@@ -73,15 +73,15 @@
     ]);
   });
 
-  test('passes the time to come back', () => {
-    const {answersTo} = createAnswering();
-    const [answer] = answersTo(JSON.stringify(begin(1, 'full')));
+  test('includes the time after which to retry', () => {
+    const {respondTo} = createFixture();
+    const [answer] = respondTo(JSON.stringify(begin(1, 'full')));
     expect(answer?.retryAfter).toEqual(1500);
     expect(JSON.parse(answer?.body ?? '').error.data.retryAfter).toEqual(1500);
   });
 
-  test('says what is wrong with a request, and that it was not run', () => {
-    const {answersTo, calls} = createAnswering();
+  test('reports the error of an invalid request and that it was not run', () => {
+    const {respondTo, calls} = createFixture();
     const wrong: Array<[string, keyof typeof ERRORS]> = [
       ['{"jsonrpc":', 'PARSE_ERROR'],
       ['', 'PARSE_ERROR'],
@@ -95,7 +95,7 @@
       [JSON.stringify(begin(1, 7)), 'INVALID_PARAMETERS'],
     ];
     for (const [body, name] of wrong) {
-      const {error} = JSON.parse(answersTo(body)[0]?.body ?? 'null');
+      const {error} = JSON.parse(respondTo(body)[0]?.body ?? 'null');
       expect([body, error.code]).toEqual([body, ERRORS[name].code]);
       expect(error.data.name).toEqual(name);
       expect(error.data.outcome).toEqual('not_run');
@@ -103,16 +103,16 @@
     expect(calls).toEqual([]);
   });
 
-  test('outlives a fault in a handler and says that all is open', () => {
-    const {answerTo} = createAnswering();
+  test('reports an unknown outcome when a handler throws', () => {
+    const {answerTo} = createFixture();
     const params = {group: 'a', transaction: 't'};
     const {error} = answerTo({...begin(1, 'a'), method: 'commit', params});
     expect(error.data.name).toEqual('INTERNAL_ERROR');
     expect(error.data.outcome).toEqual('unknown');
   });
 
-  test('answers any text once, in JSON-RPC, and never throws', () => {
-    const {answersTo} = createAnswering();
+  test('answers any text exactly once in JSON-RPC and never throws', () => {
+    const {respondTo} = createFixture();
     const odd = fc.oneof(
       fc.string(),
       fc.json(),
@@ -130,7 +130,7 @@
     );
     fc.assert(
       fc.property(odd, body => {
-        const answers = answersTo(body);
+        const answers = respondTo(body);
         expect(answers.length).toEqual(1);
         const parsed = JSON.parse(answers[0]?.body ?? '');
         for (const reply of [parsed].flat()) {
--- a/packages/proxy/__tests__/responsibilities.spec.ts
+++ b/packages/proxy/__tests__/responsibilities.spec.ts
@@ -9,8 +9,8 @@
   return {proxy, incarnation: 'x', dataCentre: 'east', address: `${proxy}:1`};
 }
 
-/** A membership whose order of responsible proxies can be changed. */
-function createOrder(names: readonly string[]) {
+/** Creates a membership in which the ranking of the proxies can be changed. */
+function createFixture(names: readonly string[]) {
   const listeners: Array<() => void> = [];
   const counts = {rankings: 0};
   let order = names.map(identity);
@@ -38,16 +38,16 @@
   };
 }
 
-describe('the rank of a watcher', () => {
-  test('is found once while the proxies stay the same', () => {
-    const {responsibilities, counts} = createOrder(['a', 'b', 'c', 'd']);
+describe('the rank of a failure detector', () => {
+  test('is computed once while the proxies stay the same', () => {
+    const {responsibilities, counts} = createFixture(['a', 'b', 'c', 'd']);
     const ranks = [1, 2, 3].map(() => responsibilities.watchRank('g'));
     expect(ranks).toEqual([1, 1, 1]);
     expect(counts.rankings).toEqual(1);
   });
 
-  test('follows each change of the proxies', () => {
-    const {responsibilities, change} = createOrder(['a', 'b', 'c', 'd']);
+  test('is updated with each change of the proxies', () => {
+    const {responsibilities, change} = createFixture(['a', 'b', 'c', 'd']);
     expect(responsibilities.watchRank('g')).toEqual(1);
     change(['b', 'c', 'd']);
     expect(responsibilities.watchRank('g')).toEqual(0);
--- a/packages/proxy/__tests__/virtual_proxies.ts
+++ b/packages/proxy/__tests__/virtual_proxies.ts
@@ -1,4 +1,4 @@
-/** Proxies with their targets on a fake network in virtual time. */
+/** Runs proxies and their targets on a fake network in virtual time. */
 import {Settings, settingsSchema} from '@kelpstep/manifest';
 import {createLogger} from '@kelpstep/observability';
 import type {Method} from '@kelpstep/protocol';
@@ -19,12 +19,12 @@
 import {Proxy, createProxy, manifestCommit} from '..';
 
 export const GROUP = 'rules';
-export const ACCEPT_TIME = 1000;
-export const DRAIN_TIME = 2000;
+export const ACCEPT_TIME_MS = 1000;
+export const DRAIN_TIME_MS = 2000;
 
 const TARGET_PORT = 5432;
 const PEER_PORT = 7200;
-const LONGEST_WAIT = 20_000;
+const MAXIMUM_WAIT_MS = 20_000;
 
 function targetHost(index: number): string {
   return `10.0.1.${index + 1}`;
@@ -48,7 +48,7 @@
     dataCentres: ['fukuoka'],
     groups: [{name: GROUP, readStaleness: 5000, members}],
     kinds: [{name: 'page-view', worth: 1, deadline: 2000}],
-    stop: {acceptTime: ACCEPT_TIME, drainTime: DRAIN_TIME},
+    stop: {acceptTime: ACCEPT_TIME_MS, drainTime: DRAIN_TIME_MS},
   });
 }
 
@@ -69,7 +69,7 @@
   });
 }
 
-/** Starts three targets and two proxies; no manifest yet. */
+/** Starts three targets and two proxies without a manifest. */
 export function startVirtualProxies(seed = 1) {
   const timer = createVirtualTimer();
   const random = createRandom(seed);
@@ -107,18 +107,18 @@
   proxies.forEach(proxy => proxy.start());
   const [a, b] = proxies as [Proxy, Proxy];
 
-  /** Waits for a future in virtual time. */
+  /** Waits for a future in virtual time and returns its value. */
   function settle<T>(future: Future<T>): T {
     const values: T[] = [];
     future.onSettled(value => values.push(value));
-    timer.runUntil(() => values.length > 0, LONGEST_WAIT);
+    timer.runUntil(() => values.length > 0, MAXIMUM_WAIT_MS);
     if (values.length === 0) {
       throw new Error('Did not settle.');
     }
     return values[0] as T;
   }
 
-  function ask<P, R>(
+  function call<P, R>(
     handlers: HandlerTable,
     method: Method<P, R>,
     parameters: P,
@@ -128,7 +128,7 @@
   }
 
   function commit(expectedVersion: number) {
-    return ask(a.operatorHandlers, manifestCommit, {
+    return call(a.operatorHandlers, manifestCommit, {
       body: manifestBody(),
       fileName: 'manifest.yaml',
       expectedVersion,
@@ -138,7 +138,7 @@
   }
 
   function waitUntil(condition: () => boolean): boolean {
-    return timer.runUntil(condition, LONGEST_WAIT);
+    return timer.runUntil(condition, MAXIMUM_WAIT_MS);
   }
 
   return {
@@ -149,14 +149,14 @@
     a,
     b,
     settle,
-    ask,
+    call,
     commit,
     waitUntil,
     targetHost,
   };
 }
 
-/** Handlers of edges get a peer that they don't use. */
+/** Peer passed to the handlers of callers and operators, which don't use it. */
 const ANY_PEER: RpcPeer = createRpcPeer({
   connection: {
     remoteAddress: 'test',
--- a/packages/proxy/src/caller_server.ts
+++ b/packages/proxy/src/caller_server.ts
@@ -1,4 +1,4 @@
-/** The callers' port: JSON-RPC 2.0 over HTTP/1.1. */
+/** The server for callers: JSON-RPC 2.0 over HTTP/1.1. */
 import {Future, TimerService} from '@kelpstep/runtime';
 import type {Address} from '@kelpstep/rpc';
 import {Result} from 'ts-results';
@@ -9,16 +9,16 @@
   createJsonRpcDispatcher,
 } from './json_rpc_dispatcher';
 
-/** What the callers' port is made of; its handlers are callers' methods. */
-export interface CallerEdgeOptions extends JsonRpcDispatcherOptions {
+/** Options of the callers' server. The handlers are the callers' methods. */
+export interface CallerServerOptions extends JsonRpcDispatcherOptions {
   readonly address: Address;
   readonly limits: HttpLimits;
   readonly timer: TimerService;
 }
 
-/** Starts to serve callers. */
-export function startCallerEdge(
-  options: CallerEdgeOptions,
+/** Starts the server for callers. */
+export function startCallerServer(
+  options: CallerServerOptions,
 ): Future<Result<HttpServer, string>> {
   const {address, limits, timer} = options;
   const dispatch = createJsonRpcDispatcher(options);
--- a/packages/proxy/src/create_proxy.ts
+++ b/packages/proxy/src/create_proxy.ts
@@ -1,4 +1,4 @@
-/** The one module that wires the parts of a proxy. Opens no socket itself. */
+/** Wires the parts of a proxy. Opens no sockets itself. */
 import {
   FailoverTimings,
   createGroupDirectory,
@@ -41,22 +41,22 @@
   waitFor,
 } from '@kelpstep/runtime';
 
-import {createAnswerObserver} from './answer_observer';
-import {createChangeRecorder} from './change_recorder';
+import {createResponseObserver} from './response_observer';
+import {createLeadershipRecorder} from './leadership_recorder';
 import {createOperatorHandlers} from './operator_handlers';
-import {createPeerPort} from './peer_port';
+import {createPeerServer} from './peer_server';
 import type {Proxy, ProxyContext} from './proxy_context';
 import {createRequestRecorder, registerLoadGauges} from './request_metrics';
 import {createResponsibilities} from './responsibilities';
 
 const INCARNATION_DIGITS = 16;
-/** A committed manifest is to be in force everywhere by then. */
-const MANIFEST_KNOWN_WITHIN: Milliseconds = 3000;
-const MANIFEST_FETCH_TIMEOUT: Milliseconds = 1000;
-/** New work is refused at least so long before ports close. */
-const REFUSAL_TIME: Milliseconds = 500;
-/** How long a stopping proxy waits for the platform to take its trail. */
-const AUDIT_FLUSH_LIMIT: Milliseconds = 2000;
+/** Time within which a committed manifest has to be in force on all proxies. */
+const MANIFEST_STALENESS_BOUND_MS: Milliseconds = 3000;
+const MANIFEST_FETCH_TIMEOUT_MS: Milliseconds = 1000;
+/** Minimum time for which new requests are refused before the servers close. */
+const MINIMUM_REFUSAL_TIME_MS: Milliseconds = 500;
+/** Maximum time that a stopping proxy waits for the audit trail to be stored. */
+const AUDIT_FLUSH_TIMEOUT_MS: Milliseconds = 2000;
 
 function identityOf(settings: Settings, runtime: Runtime): ProxyIdentity {
   return {
@@ -67,7 +67,7 @@
   };
 }
 
-/** Creates a proxy; it does nothing until it is started. */
+/** Creates a proxy, which stays inactive until it is started. */
 export function createProxy(settings: Settings, context: ProxyContext): Proxy {
   const {runtime, transport, logger, platform: inner} = context;
   const {timer} = runtime;
@@ -88,8 +88,8 @@
 
   const peerHandlers = createHandlerTable();
   const links = createPeerLinks({transport, timer});
-  const askPeer = createIdempotentRequest(runtime, links.request);
-  const peerPort = createPeerPort({
+  const requestFromPeer = createIdempotentRequest(runtime, links.request);
+  const peerServer = createPeerServer({
     transport,
     timer,
     address: self.address,
@@ -102,14 +102,15 @@
     seeds: settings.seeds,
     exchange: createShortExchange({
       runtime,
-      ask: askPeer,
+      ask: requestFromPeer,
       timeout: intervals.peerExchangeTimeout,
     }),
     hooks: {
       ready: () => unreadyReason() === undefined,
       manifestVersion: () => manifests.version(),
-      heardManifest: (version, from) => manifests.notePeerVersion(version, from.address),
-      heardLeadership,
+      heardManifest: (version, from) =>
+        manifests.notePeerVersion(version, from.address),
+      heardLeadership: applyLeadership,
     },
     paceBase: {
       interval: intervals.peerExchange,
@@ -125,7 +126,12 @@
     polls: () => responsibilities.polls('manifest'),
     peers: peerAddresses,
     fetchManifest: (address, above) =>
-      askPeer(address, peerManifest, {above}, MANIFEST_FETCH_TIMEOUT),
+      requestFromPeer(
+        address,
+        peerManifest,
+        {above},
+        MANIFEST_FETCH_TIMEOUT_MS,
+      ),
     pollInterval: intervals.manifestPoll,
     onRejected: (version, message) =>
       logger.error('manifest_rejected', {version, message}),
@@ -143,7 +149,7 @@
     dataCentre: self.dataCentre,
     watchRank: responsibilities.watchRank,
     isLeaving: ({id, address}) => membership.isTargetLeaving({id, address}),
-    onLeadershipChange: createChangeRecorder({
+    onLeadershipChange: createLeadershipRecorder({
       proxy: self.proxy,
       logger: logger.forPart('failover'),
       metrics,
@@ -170,9 +176,9 @@
       transactionIdleTime: limits.transactionIdleTimeout,
     },
     onRequestEnd: createRequestRecorder(metrics, isKind),
-    ...(context.onRequestFault === undefined
+    ...(context.onRequestError === undefined
       ? {}
-      : {onFault: context.onRequestFault}),
+      : {onFault: context.onRequestError}),
   });
 
   membership.serve(peerHandlers);
@@ -185,7 +191,7 @@
   registry.gauge('kelpstep_audit_pending', 'Entries not yet stored.', () => [
     {labels: {}, value: audit.pending()},
   ]);
-  manifests.onChange(takeManifest);
+  manifests.onChange(applyManifest);
   membership.onChange(() => {
     groups.reviewWatching();
     requests.reconfigure();
@@ -197,7 +203,7 @@
   }
 
   function isManifestCurrent(): boolean {
-    const isCurrent = manifests.age() <= MANIFEST_KNOWN_WITHIN;
+    const isCurrent = manifests.age() <= MANIFEST_STALENESS_BOUND_MS;
     if (!isCurrent) {
       manifests.refresh();
     }
@@ -212,15 +218,15 @@
     return [...new Set([...live, ...settings.seeds])];
   }
 
-  function takeManifest({version, manifest}: AcceptedManifest): void {
+  function applyManifest({version, manifest}: AcceptedManifest): void {
     logger.info('manifest_in_force', {version});
     groups.updateManifest(manifest.groups, version);
     requests.reconfigure();
     membership.spread();
   }
 
-  /** True if the leadership is news, which is then passed on. */
-  function heardLeadership(leadership: GroupLeadership): boolean {
+  /** Returns whether the leadership is new, in which case it is forwarded. */
+  function applyLeadership(leadership: GroupLeadership): boolean {
     const view = groups.find(leadership.group);
     const known = view?.lastLeadership()?.term ?? -1;
     if (view === undefined || leadership.term <= known) {
@@ -241,7 +247,7 @@
   }
 
   function start() {
-    return mapFuture(peerPort.listen(), result => {
+    return mapFuture(peerServer.listen(), result => {
       if (result.ok) {
         listening = true;
         membership.start();
@@ -259,7 +265,7 @@
     });
   }
 
-  function* runStop(): Task<undefined> {
+  function* stopGracefully(): Task<undefined> {
     stopping = true;
     membership.leave();
     const policy =
@@ -267,10 +273,10 @@
     logger.info('stopping', {milliseconds: policy.acceptTime});
     yield* sleep(policy.acceptTime);
     requests.stopAccepting();
-    const refusing = runtime.spawn('refuse', sleep(REFUSAL_TIME));
+    const refusal = runtime.spawn('refuse', sleep(MINIMUM_REFUSAL_TIME_MS));
     yield* waitFor(requests.drain(policy.drainTime));
-    yield* waitFor(refusing.result);
-    yield* waitAtMost(audit.flushed(), AUDIT_FLUSH_LIMIT);
+    yield* waitFor(refusal.result);
+    yield* waitAtMost(audit.flushed(), AUDIT_FLUSH_TIMEOUT_MS);
     logger.info('stopped', {count: audit.pending()});
     return undefined;
   }
@@ -291,20 +297,23 @@
       unreadyReason,
       liveProxies: membership.liveProxies,
     }),
-    onCallerAnswer: createAnswerObserver(logger.forPart('callers'), metrics),
+    onCallerResponse: createResponseObserver(
+      logger.forPart('callers'),
+      metrics,
+    ),
     start,
     unreadyReason,
     manifestVersion: manifests.version,
     renderMetrics: registry.render,
     stop() {
-      stopped ??= runtime.spawn('stop', runStop()).result;
+      stopped ??= runtime.spawn('stop', stopGracefully()).result;
       return stopped;
     },
     close() {
       requests.close();
       groups.close();
       links.close();
-      peerPort.close();
+      peerServer.close();
     },
   };
 }
--- a/packages/proxy/src/daemon.ts
+++ b/packages/proxy/src/daemon.ts
@@ -1,4 +1,4 @@
-/** A proxy as a process runs it: real time, sockets and HTTP edges. */
+/** Runs a proxy as a process, with real time, sockets and HTTP servers. */
 import type {Settings} from '@kelpstep/manifest';
 import {Logger, createLogger} from '@kelpstep/observability';
 import {createHttpPlatformClient} from '@kelpstep/platform';
@@ -13,26 +13,26 @@
 import {randomBytes} from 'node:crypto';
 import {Err, Ok, Result} from 'ts-results';
 
-import {startCallerEdge} from './caller_edge';
+import {startCallerServer} from './caller_server';
 import {createProxy} from './create_proxy';
 import type {HttpLimits, HttpServer} from './http_server';
-import {startOperatorEdge} from './operator_edge';
+import {startOperatorServer} from './operator_server';
 import type {Proxy} from './proxy_context';
 
-/** A proxy that runs. */
+/** A running proxy with its HTTP servers. */
 export interface Daemon {
   readonly proxy: Proxy;
   readonly logger: Logger;
-  /** Graceful stop; resolves once all is answered and closed. */
+  /** Stops gracefully. Resolves once all requests are answered and all is closed. */
   stop(): Promise<void>;
 }
 
-const MAXIMUM_BATCH = 50;
-const OPERATOR_CONNECTIONS = 100;
-/** Bodies on the operators' port hold manifests. */
-const OPERATOR_BODY_BYTES = 4 * 1024 * 1024;
+const MAXIMUM_BATCH_SIZE = 50;
+const MAXIMUM_OPERATOR_CONNECTIONS = 100;
+/** Requests of operators contain whole manifests. */
+const MAXIMUM_OPERATOR_BODY_BYTES = 4 * 1024 * 1024;
 
-function wideSeed(): WideSeed {
+function createSeed(): WideSeed {
   const bytes = randomBytes(16);
   return [
     bytes.readInt32LE(0),
@@ -54,19 +54,19 @@
 function operatorLimits(settings: Settings): HttpLimits {
   return {
     ...callerLimits(settings),
-    maximumBodyBytes: OPERATOR_BODY_BYTES,
-    maximumConnections: OPERATOR_CONNECTIONS,
+    maximumBodyBytes: MAXIMUM_OPERATOR_BODY_BYTES,
+    maximumConnections: MAXIMUM_OPERATOR_CONNECTIONS,
   };
 }
 
 function createDaemonParts(settings: Settings) {
   const timer = createRealTimer();
   const logger = createLogger({part: 'proxy', proxy: settings.proxy, timer});
-  const random = createRandom(wideSeed());
+  const random = createRandom(createSeed());
   const runtime = createRuntime({
     timer,
     random,
-    // One faulty task must not take all callers down with it.
+    // An error in one task must not end the process for all callers.
     onTaskFailure: (error, name) =>
       logger.error('task_failed', {
         message: `${name}: ${error instanceof Error ? error.stack : error}`,
@@ -83,7 +83,7 @@
   return {timer, logger, runtime, platform, transport};
 }
 
-/** Starts a daemon; fails if one of its ports can't be had. */
+/** Starts a daemon. Fails if it can't listen on one of its ports. */
 export async function startDaemon(
   settings: Settings,
 ): Promise<Result<Daemon, string>> {
@@ -94,7 +94,7 @@
     transport,
     platform,
     logger,
-    onRequestFault: (error, method) =>
+    onRequestError: (error, method) =>
       logger.error('request_failed', {method, message: String(error)}),
   });
   const servers: HttpServer[] = [];
@@ -117,7 +117,7 @@
     return await fail(`${settings.addresses.peers}: ${listening.val.message}`);
   }
   const operators = await promiseFromFuture(
-    startOperatorEdge({
+    startOperatorServer({
       address: settings.addresses.operators,
       limits: operatorLimits(settings),
       timer,
@@ -132,14 +132,14 @@
   }
   servers.push(operators.val);
   const callers = await promiseFromFuture(
-    startCallerEdge({
+    startCallerServer({
       address: settings.addresses.callers,
       limits: callerLimits(settings),
       timer,
       handlers: proxy.callerHandlers,
-      maximumBatch: MAXIMUM_BATCH,
-      onAnswer: proxy.onCallerAnswer,
-      onHandlerFault: (error, method) =>
+      maximumBatch: MAXIMUM_BATCH_SIZE,
+      onResponse: proxy.onCallerResponse,
+      onHandlerError: (error, method) =>
         logger.error('handler_failed', {method, message: String(error)}),
     }),
   );
--- a/packages/proxy/src/http_body.ts
+++ b/packages/proxy/src/http_body.ts
@@ -1,13 +1,13 @@
-/** Reads bodies of HTTP requests, up to a limit. */
+/** Reads the bodies of HTTP requests up to a size limit. */
 import type {IncomingMessage} from 'node:http';
 
-/** A body is read to its end if it is no larger than this many limits. */
-const DISCARD_FACTOR = 16;
+/** Size, as a multiple of the limit, up to which a large body is discarded. */
+const MAXIMUM_DISCARD_RATIO = 16;
 
 /**
- * Reads a body; `undefined` as soon as it is larger than the limit. What
- * follows is read and dropped, within bounds: a connection closed with bytes
- * unread would be reset and the client might never see the answer.
+ * Reads a body. Reports `undefined` as soon as the body exceeds the limit. The
+ * rest of it is read and discarded up to a bound, because a connection that is
+ * closed with unread bytes is reset, and the client might not get the response.
  */
 export function readBody(
   request: IncomingMessage,
@@ -18,7 +18,7 @@
   let bytes = 0;
   let refused = false;
 
-  function refuse(): void {
+  function reject(): void {
     if (!refused) {
       refused = true;
       chunks.length = 0;
@@ -32,8 +32,8 @@
       chunks.push(chunk);
       return;
     }
-    refuse();
-    if (bytes > DISCARD_FACTOR * maximumBytes) {
+    reject();
+    if (bytes > MAXIMUM_DISCARD_RATIO * maximumBytes) {
       request.destroy();
     }
   });
@@ -43,11 +43,11 @@
     }
   });
   if (Number(request.headers['content-length'] ?? 0) > maximumBytes) {
-    refuse();
+    reject();
   }
 }
 
-/** Most bodies are one chunk, which needs no copy. */
+/** Most bodies are a single chunk, which is not copied. */
 function joinChunks(chunks: readonly Buffer[]): Buffer {
   const [only] = chunks;
   return chunks.length === 1 && only !== undefined
--- a/packages/proxy/src/http_connections.ts
+++ b/packages/proxy/src/http_connections.ts
@@ -1,13 +1,13 @@
-/** Knows the connections of an HTTP server and which of them are in use. */
+/** Tracks the connections of an HTTP server and which of them are idle. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
-/** Open connections, each with its number of requests without an answer. */
-export function createConnectionTable(server: Server) {
+/** Counts the requests in flight of each open connection. */
+export function createConnectionTracker(server: Server) {
   const requests = new Map<Socket, number>();
   let inFlight = 0;
 
-  function change(socket: Socket, difference: number): void {
+  function adjustCount(socket: Socket, difference: number): void {
     inFlight += difference;
     const count = requests.get(socket);
     if (count !== undefined) {
@@ -15,7 +15,7 @@
     }
   }
 
-  function destroyWhere(condition: (socket: Socket) => boolean): void {
+  function destroyIdle(condition: (socket: Socket) => boolean): void {
     for (const [socket, count] of requests) {
       if (count === 0 && condition(socket)) {
         socket.destroy();
@@ -33,12 +33,12 @@
     inFlight: () => inFlight,
     requestStarted(request: IncomingMessage, response: ServerResponse): void {
       const {socket} = request;
-      change(socket, 1);
-      response.once('close', () => change(socket, -1));
+      adjustCount(socket, 1);
+      response.once('close', () => adjustCount(socket, -1));
     },
-    /** Ends connections by which no request ever came. */
-    closeUnused: () => destroyWhere(socket => socket.bytesRead === 0),
-    /** Ends all connections on which no answer is due. */
-    closeUnanswered: () => destroyWhere(() => true),
+    /** Destroys idle connections on which no byte has been received. */
+    closeUnused: () => destroyIdle(socket => socket.bytesRead === 0),
+    /** Destroys all connections without a request in flight. */
+    closeIdle: () => destroyIdle(() => true),
   };
 }
--- a/packages/proxy/src/http_server.ts
+++ b/packages/proxy/src/http_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP/1.1 server under both ports: bodies, time-outs, limits, stopping. */
+/** The HTTP/1.1 server used for callers and operators. */
 import {createFailure} from '@kelpstep/protocol';
 import {
   Future,
@@ -16,43 +16,43 @@
 import {Err, Ok, Result} from 'ts-results';
 
 import {readBody} from './http_body';
-import {createConnectionTable} from './http_connections';
+import {createConnectionTracker} from './http_connections';
 import {
-  EncodedAnswer,
+  EncodedResponse,
   JsonRpcDispatcher,
-  encodeFailureAnswer,
+  encodeErrorResponse,
 } from './json_rpc_dispatcher';
 
-/** Limits that keep odd or idle clients from harming others. */
+/** Limits that protect the server from faulty or idle clients. */
 export interface HttpLimits {
-  /** Larger bodies are refused, bytes. */
+  /** Maximum size of a body, in bytes. Larger bodies are rejected. */
   readonly maximumBodyBytes: number;
-  /** Further connections are closed at once. */
+  /** Maximum number of connections. Further ones are closed at once. */
   readonly maximumConnections: number;
-  /** A connection without a request for this long is closed. */
+  /** Time without a request after which a connection is closed. */
   readonly keepAliveTimeout: Milliseconds;
-  /** Time for a whole request to arrive, from its first byte. */
+  /** Maximum time from the first byte of a request to its last. */
   readonly requestTimeout: Milliseconds;
 }
 
-/** An answer to a plain HTTP request. */
-export interface PlainAnswer {
+/** A response to a plain HTTP request. */
+export interface PlainResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** Answers `GET` of one path. */
-export type PlainRoute = () => PlainAnswer;
+/** Handles `GET` requests of a path. */
+export type PlainRoute = () => PlainResponse;
 
-/** What an HTTP server is made of. */
+/** Options of an HTTP server. */
 export interface HttpServerOptions {
   readonly address: Address;
   readonly limits: HttpLimits;
   readonly timer: TimerService;
-  /** Answers `POST /` and `POST /rpc`. */
+  /** Handles `POST /` and `POST /rpc`. */
   readonly dispatch: JsonRpcDispatcher;
-  /** Refuses a request before its body is read; by default none. */
+  /** Decides before the body is read. By default all requests are allowed. */
   readonly authorize?: (request: IncomingMessage) => boolean;
   readonly plainRoutes?: ReadonlyMap<string, PlainRoute>;
 }
@@ -60,12 +60,12 @@
 /** A listening HTTP server. */
 export interface HttpServer {
   readonly address: Address;
-  /** Requests without an answer so far. */
+  /** Number of requests that have not been answered yet. */
   requestsInFlight(): number;
   connections(): number;
-  /** Answers from now on tell clients to leave the connection. */
+  /** From now on responses carry `connection: close`. */
   announceClose(): void;
-  /** Stops accepting; settles once every request in flight is answered. */
+  /** Stops accepting. Settles once every request in flight is answered. */
   close(): Future<undefined>;
 }
 
@@ -73,11 +73,11 @@
 const JSON_TYPE = 'application/json';
 const TEXT_TYPE = 'text/plain; charset=utf-8';
 const MILLISECONDS_PER_SECOND = 1000;
-/** How often Node.js looks for requests that take too long to arrive. */
-const TIMEOUT_CHECK_SHARE = 4;
+/** Number of checks by Node.js for late requests within the request timeout. */
+const CHECKS_PER_REQUEST_TIMEOUT = 4;
 
-/** Time for the first request on a connection once the server closes. */
-const UNUSED_CONNECTION_GRACE: Milliseconds = 500;
+/** Time that unused connections stay open for a first request during close. */
+const UNUSED_CONNECTION_GRACE_MS: Milliseconds = 500;
 
 const STATUS = {
   ok: 200,
@@ -87,87 +87,87 @@
   tooLarge: 413,
 } as const;
 
-type Finish = (
+type SendResponse = (
   response: ServerResponse,
   status: number,
   contentType: string,
-  answer: EncodedAnswer,
+  encoded: EncodedResponse,
 ) => void;
 
-function createFinish(isClosing: () => boolean): Finish {
-  return (response, status, contentType, answer) => {
-    const {body} = answer;
+function createSendResponse(isClosing: () => boolean): SendResponse {
+  return (response, status, contentType, encoded) => {
+    const {body} = encoded;
     const headers: Record<string, string | number> = {
       'content-type': contentType,
       'content-length': Buffer.byteLength(body),
     };
-    if (answer.retryAfter !== undefined) {
+    if (encoded.retryAfter !== undefined) {
       headers['retry-after'] = Math.ceil(
-        answer.retryAfter / MILLISECONDS_PER_SECOND,
+        encoded.retryAfter / MILLISECONDS_PER_SECOND,
       );
     }
     if (isClosing()) {
       headers['connection'] = 'close';
     }
     response.writeHead(status, headers);
-    // Node.js sends a text in one write with its head, a buffer apart.
+    // Node.js writes a string together with the headers, a buffer separately.
     response.end(body);
   };
 }
 
-function createListener(
+function createRequestHandler(
   options: HttpServerOptions,
-  finish: Finish,
+  send: SendResponse,
 ): (request: IncomingMessage, response: ServerResponse) => void {
   const {limits, dispatch, authorize, plainRoutes} = options;
 
-  function fail(
+  function sendError(
     response: ServerResponse,
     status: number,
-    answer: EncodedAnswer,
+    encoded: EncodedResponse,
   ): void {
-    finish(response, status, JSON_TYPE, answer);
+    send(response, status, JSON_TYPE, encoded);
   }
 
-  function answerRpc(request: IncomingMessage, response: ServerResponse): void {
+  function handleRpc(request: IncomingMessage, response: ServerResponse): void {
     readBody(request, limits.maximumBodyBytes, body => {
       if (body === undefined) {
         const failure = createFailure('BODY_TOO_LARGE', {
           message: `A body holds at most ${limits.maximumBodyBytes} bytes.`,
         });
-        fail(response, STATUS.tooLarge, encodeFailureAnswer(failure));
+        sendError(response, STATUS.tooLarge, encodeErrorResponse(failure));
         return;
       }
-      dispatch(body, answer => finish(response, STATUS.ok, JSON_TYPE, answer));
+      dispatch(body, encoded => send(response, STATUS.ok, JSON_TYPE, encoded));
     });
   }
 
-  function answerPlain(path: string, response: ServerResponse): boolean {
+  function handlePlain(path: string, response: ServerResponse): boolean {
     const route = plainRoutes?.get(path);
     if (route === undefined) {
       return false;
     }
     const {status, contentType, body} = route();
-    finish(response, status, contentType, {body});
+    send(response, status, contentType, {body});
     return true;
   }
 
   return (request, response) => {
     const path = request.url ?? '/';
     const isGet = request.method === 'GET';
-    if (isGet && answerPlain(path, response)) {
+    if (isGet && handlePlain(path, response)) {
       return;
     }
     if (!RPC_PATHS.has(path)) {
-      finish(response, STATUS.notFound, TEXT_TYPE, {body: 'Not found.\n'});
+      send(response, STATUS.notFound, TEXT_TYPE, {body: 'Not found.\n'});
     } else if (request.method !== 'POST') {
       const body = 'Send JSON-RPC 2.0 by POST.\n';
-      finish(response, STATUS.methodNotAllowed, TEXT_TYPE, {body});
+      send(response, STATUS.methodNotAllowed, TEXT_TYPE, {body});
     } else if (authorize !== undefined && !authorize(request)) {
       const failure = createFailure('UNAUTHORIZED');
-      fail(response, STATUS.unauthorized, encodeFailureAnswer(failure));
+      sendError(response, STATUS.unauthorized, encodeErrorResponse(failure));
     } else {
-      answerRpc(request, response);
+      handleRpc(request, response);
     }
   };
 }
@@ -189,32 +189,33 @@
   const closed = createDeferred<undefined>();
   let closing = false;
 
-  const answer = createListener(
+  const handleRequest = createRequestHandler(
     options,
-    createFinish(() => closing),
+    createSendResponse(() => closing),
   );
   const server = createServer({
     connectionsCheckingInterval: Math.ceil(
-      limits.requestTimeout / TIMEOUT_CHECK_SHARE,
+      limits.requestTimeout / CHECKS_PER_REQUEST_TIMEOUT,
     ),
     noDelay: true,
   });
-  const connections = createConnectionTable(server);
+  const connections = createConnectionTracker(server);
   applyLimits(server, limits);
   server.on('request', (request, response) => {
     connections.requestStarted(request, response);
-    answer(request, response);
+    handleRequest(request, response);
   });
 
   /**
-   * Node.js ends idle connections here, but no new or half-used ones: their
-   * requests may be on the way, so they get a while.
+   * Closes the server. Node.js ends idle connections here, but neither new ones
+   * nor those with a partial request. Their requests may still be arriving, so
+   * these connections are closed after a delay.
    */
   function close(): Future<undefined> {
     closing = true;
     const cancels = [
-      timer.after(UNUSED_CONNECTION_GRACE, connections.closeUnused),
-      timer.after(limits.requestTimeout, connections.closeUnanswered),
+      timer.after(UNUSED_CONNECTION_GRACE_MS, connections.closeUnused),
+      timer.after(limits.requestTimeout, connections.closeIdle),
     ];
     server.close(() => {
       cancels.forEach(cancel => cancel());
--- a/packages/proxy/src/json_rpc_dispatcher.ts
+++ b/packages/proxy/src/json_rpc_dispatcher.ts
@@ -1,48 +1,48 @@
 /**
- * Turns the body of a JSON-RPC request into the body of its answer. Holds no
- * socket, so that tests and other edges can use it.
+ * Maps the body of a JSON-RPC request to the body of its response. Independent
+ * of sockets, so that tests and other servers can use it.
  */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Milliseconds, settledFuture} from '@kelpstep/runtime';
 import {HandlerTable, Reply, RpcPeer, encodeFailure} from '@kelpstep/rpc';
 import {Err} from 'ts-results';
 
-/** What a caller names its request by. */
+/** The JSON-RPC id of a request. */
 export type RequestId = string | number;
 
-/** An answer as an edge sends it. */
-export interface EncodedAnswer {
+/** A response as a server sends it. */
+export interface EncodedResponse {
   readonly body: string;
-  /** Time after which the request may be sent again, if one was refused. */
+  /** Time after which refused requests may be sent again. */
   readonly retryAfter?: Milliseconds;
 }
 
-/** Takes the answer; called once. */
-export type Respond = (answer: EncodedAnswer) => void;
+/** Receives the response. Called exactly once. */
+export type Respond = (response: EncodedResponse) => void;
 
-/** Answers the body of a request. */
+/** Handles the body of a request. */
 export type JsonRpcDispatcher = (body: string, respond: Respond) => void;
 
-/** An answer, for logs and metrics. */
-export interface AnswerEvent {
+/** A response, for logs and metrics. */
+export interface ResponseEvent {
   readonly id: RequestId | null;
   readonly method: string | undefined;
   /** Undefined if the request succeeded. */
   readonly failure: Failure | undefined;
 }
 
-/** Gets answers as they leave. */
-export type AnswerListener = (event: AnswerEvent) => void;
+/** Called with each response when it is sent. */
+export type ResponseListener = (event: ResponseEvent) => void;
 
-/** What a dispatcher is made of. */
+/** Options of a dispatcher. */
 export interface JsonRpcDispatcherOptions {
   readonly handlers: HandlerTable;
-  /** Most requests in one body. */
+  /** Maximum number of requests in a batch. */
   readonly maximumBatch: number;
-  /** Told when a handler throws. */
-  readonly onHandlerFault?: (error: unknown, method: string) => void;
-  /** Told of each answer: id and method as sent, if they could be read. */
-  readonly onAnswer?: AnswerListener;
+  /** Called when a handler throws. */
+  readonly onHandlerError?: (error: unknown, method: string) => void;
+  /** Called with each response, with id and method if they could be read. */
+  readonly onResponse?: ResponseListener;
 }
 
 interface ValidRequest {
@@ -51,11 +51,11 @@
   readonly params: unknown;
 }
 
-const VERSION = '2.0';
+const JSON_RPC_VERSION = '2.0';
 
 /**
- * Handlers want the connection by which a request came; one over HTTP can't be
- * used to send requests back.
+ * Handlers expect the peer that sent a request. Over HTTP no requests can be
+ * sent back to it.
  */
 const HTTP_PEER: RpcPeer = {
   remoteAddress: 'http',
@@ -75,13 +75,13 @@
   pendingRequests: () => 0,
 };
 
-/** The answer to a request that failed before or while it was handled. */
-export function encodeFailureAnswer(
+/** Encodes the response to a request that failed before or during handling. */
+export function encodeErrorResponse(
   failure: Failure,
   id: RequestId | null = null,
-): EncodedAnswer {
+): EncodedResponse {
   const body = JSON.stringify({
-    jsonrpc: VERSION,
+    jsonrpc: JSON_RPC_VERSION,
     id,
     error: encodeFailure(failure),
   });
@@ -89,8 +89,8 @@
   return retryAfter === undefined ? {body} : {body, retryAfter};
 }
 
-function encodeResultAnswer(id: RequestId, result: unknown): EncodedAnswer {
-  return {body: JSON.stringify({jsonrpc: VERSION, id, result})};
+function encodeResultResponse(id: RequestId, result: unknown): EncodedResponse {
+  return {body: JSON.stringify({jsonrpc: JSON_RPC_VERSION, id, result})};
 }
 
 function isRequestId(value: unknown): value is RequestId {
@@ -98,15 +98,19 @@
 }
 
 /**
- * Reads a request. Notifications are refused: whoever sends a statement has to
- * learn what became of it.
+ * Reads a request. Notifications are rejected, as the sender of a statement has
+ * to learn its outcome.
  */
 function readRequest(message: unknown): ValidRequest | undefined {
   if (typeof message !== 'object' || message === null) {
     return undefined;
   }
   const {jsonrpc, id, method, params} = message as Record<string, unknown>;
-  if (jsonrpc !== VERSION || !isRequestId(id) || typeof method !== 'string') {
+  if (
+    jsonrpc !== JSON_RPC_VERSION ||
+    !isRequestId(id) ||
+    typeof method !== 'string'
+  ) {
     return undefined;
   }
   return {id, method, params};
@@ -120,7 +124,7 @@
   return isRequestId(id) ? id : null;
 }
 
-function parse(body: string): {readonly value: unknown} | undefined {
+function parseJson(body: string): {readonly value: unknown} | undefined {
   try {
     return {value: JSON.parse(body)};
   } catch {
@@ -128,71 +132,71 @@
   }
 }
 
-function longest(
+function maximumDelay(
   left: Milliseconds | undefined,
   right: Milliseconds | undefined,
 ): Milliseconds | undefined {
   return left === undefined ? right : Math.max(left, right ?? 0);
 }
 
-/** Creates a dispatcher over a table of handlers. */
+/** Creates a dispatcher for a table of handlers. */
 export function createJsonRpcDispatcher(
   options: JsonRpcDispatcherOptions,
 ): JsonRpcDispatcher {
-  const {handlers, maximumBatch, onAnswer} = options;
-  const onHandlerFault = options.onHandlerFault ?? (() => {});
+  const {handlers, maximumBatch, onResponse} = options;
+  const onHandlerError = options.onHandlerError ?? (() => {});
 
-  function refuse(
+  function reject(
     failure: Failure,
     respond: Respond,
     id: RequestId | null = null,
   ): void {
-    onAnswer?.({id, method: undefined, failure});
-    respond(encodeFailureAnswer(failure, id));
+    onResponse?.({id, method: undefined, failure});
+    respond(encodeErrorResponse(failure, id));
   }
 
-  /** A fault in a handler costs its request, not the process. */
+  /** An error in a handler fails its request, not the process. */
   function dispatchSafely(method: string, parameters: unknown) {
     try {
       return handlers.dispatch(method, parameters, HTTP_PEER);
     } catch (error) {
-      onHandlerFault(error, method);
+      onHandlerError(error, method);
       return settledFuture<Reply<unknown>>(
         Err(createFailure('INTERNAL_ERROR')),
       );
     }
   }
 
-  function answerOne(message: unknown, respond: Respond): void {
+  function handleMessage(message: unknown, respond: Respond): void {
     const request = readRequest(message);
     if (request === undefined) {
-      refuse(createFailure('INVALID_REQUEST'), respond, readId(message));
+      reject(createFailure('INVALID_REQUEST'), respond, readId(message));
       return;
     }
     const {id, method, params} = request;
     dispatchSafely(method, params).onSettled(reply => {
       const failure = reply.ok ? undefined : reply.val;
-      onAnswer?.({id, method, failure});
+      onResponse?.({id, method, failure});
       respond(
         reply.ok
-          ? encodeResultAnswer(id, reply.val)
-          : encodeFailureAnswer(reply.val, id),
+          ? encodeResultResponse(id, reply.val)
+          : encodeErrorResponse(reply.val, id),
       );
     });
   }
 
-  function answerBatch(messages: readonly unknown[], respond: Respond): void {
+  function handleBatch(messages: readonly unknown[], respond: Respond): void {
     if (messages.length === 0 || messages.length > maximumBatch) {
       const message = `A batch holds 1 to ${maximumBatch} requests.`;
-      respond(encodeFailureAnswer(createFailure('INVALID_REQUEST', {message})));
+      respond(encodeErrorResponse(createFailure('INVALID_REQUEST', {message})));
       return;
     }
     const bodies: string[] = [];
     let retryAfter: Milliseconds | undefined;
     for (const message of messages) {
-      answerOne(message, answer => {
-        bodies.push(answer.body);
-        retryAfter = longest(retryAfter, answer.retryAfter);
+      handleMessage(message, response => {
+        bodies.push(response.body);
+        retryAfter = maximumDelay(retryAfter, response.retryAfter);
         if (bodies.length === messages.length) {
           const body = `[${bodies.join(',')}]`;
           respond(retryAfter === undefined ? {body} : {body, retryAfter});
@@ -202,13 +206,13 @@
   }
 
   return (body, respond) => {
-    const parsed = parse(body);
+    const parsed = parseJson(body);
     if (parsed === undefined) {
-      refuse(createFailure('PARSE_ERROR'), respond);
+      reject(createFailure('PARSE_ERROR'), respond);
     } else if (Array.isArray(parsed.value)) {
-      answerBatch(parsed.value, respond);
+      handleBatch(parsed.value, respond);
     } else {
-      answerOne(parsed.value, respond);
+      handleMessage(parsed.value, respond);
     }
   };
 }
--- a/packages/proxy/src/leadership_recorder.ts
+++ b/packages/proxy/src/leadership_recorder.ts
@@ -1,9 +1,9 @@
-/** Tells logs, metrics and the audit trail of changes of primary. */
+/** Records changes of primary in logs, metrics and the audit trail. */
 import type {LeadershipChange} from '@kelpstep/failover';
 import type {AuditTrail, Logger, ProxyMetrics} from '@kelpstep/observability';
 
-/** What is told. */
-export interface ChangeRecorderOptions {
+/** Where changes are recorded, and the proxy that they are attributed to. */
+export interface LeadershipRecorderOptions {
   readonly proxy: string;
   readonly logger: Logger;
   readonly metrics: ProxyMetrics;
@@ -12,9 +12,9 @@
 
 const NO_PRIMARY = 'none';
 
-/** Creates the listener of changes that this proxy brought about. */
-export function createChangeRecorder(
-  options: ChangeRecorderOptions,
+/** Creates the listener for changes of primary that this proxy performed. */
+export function createLeadershipRecorder(
+  options: LeadershipRecorderOptions,
 ): (change: LeadershipChange) => void {
   const {proxy, logger, metrics, audit} = options;
   return change => {
--- a/packages/proxy/src/operator_handlers.ts
+++ b/packages/proxy/src/operator_handlers.ts
@@ -1,4 +1,4 @@
-/** Serves the operators' methods. */
+/** Handlers of the methods for operators. */
 import type {GroupDirectory, GroupView} from '@kelpstep/failover';
 import {
   AcceptedManifest,
@@ -27,7 +27,7 @@
   proxyStatus,
 } from './operator_methods';
 
-/** What operators' methods work on. */
+/** Dependencies of the handlers. */
 export interface OperatorHandlersOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
@@ -42,7 +42,7 @@
 
 type CommitParameters = ParametersOf<typeof manifestCommit>;
 
-function nameOf(accepted: AcceptedManifest | undefined) {
+function manifestReference(accepted: AcceptedManifest | undefined) {
   if (accepted === undefined) {
     return {version: 0};
   }
@@ -69,7 +69,7 @@
   };
 }
 
-/** Creates the operators' methods. */
+/** Creates the handlers of the methods for operators. */
 export function createOperatorHandlers(
   options: OperatorHandlersOptions,
 ): HandlerTable {
@@ -88,7 +88,7 @@
 
   function* commit(
     parameters: CommitParameters,
-  ): Task<Reply<ReturnType<typeof nameOf>>> {
+  ): Task<Reply<ReturnType<typeof manifestReference>>> {
     const {platform} = options;
     const result = yield* commitManifest({runtime, platform, ...parameters});
     if (result.err) {
@@ -99,7 +99,7 @@
     }
     manifests.offer(result.val);
     recordCommit(parameters, 'accepted');
-    return Ok(nameOf(result.val));
+    return Ok(manifestReference(result.val));
   }
 
   function status(): ProxyStatus {
@@ -107,7 +107,7 @@
     return {
       proxy: options.self,
       ...(unready === undefined ? {} : {unready}),
-      manifest: nameOf(manifests.current()),
+      manifest: manifestReference(manifests.current()),
       proxies: [...options.liveProxies()],
       groups: options.groups
         .views()
@@ -121,7 +121,7 @@
   function show(): Future<Reply<{version: number; body?: string}>> {
     const accepted = manifests.current();
     const body = accepted === undefined ? {} : {body: accepted.body};
-    return settledFuture(Ok({...nameOf(accepted), ...body}));
+    return settledFuture(Ok({...manifestReference(accepted), ...body}));
   }
 
   return createHandlerTable()
--- a/packages/proxy/src/operator_methods.ts
+++ b/packages/proxy/src/operator_methods.ts
@@ -1,4 +1,4 @@
-/** Methods of the operators' port; the `kelpstep` command uses them. */
+/** Methods for operators, as used by the `kelpstep` command. */
 import {auditPageSchema} from '@kelpstep/observability';
 import {
   defineMethod,
@@ -10,35 +10,38 @@
 
 const version = z.number().int().nonnegative();
 
-/** What names the manifest in force; version 0 without one. */
-const manifestNameSchema = z.strictObject({
+/** Identifies the manifest in force; version 0 without a manifest. */
+const manifestReferenceSchema = z.strictObject({
   version,
   commitId: z.string().optional(),
   /** SHA-256 of the body, hexadecimal. */
   digest: z.string().optional(),
 });
 
-/** Commits a manifest. Sending it again with the same id is harmless. */
+/** Commits a manifest. A commit can be sent again safely with the same id. */
 export const manifestCommit = defineMethod(
   'manifest.commit',
   z.strictObject({
     /** The YAML text. */
     body: z.string(),
-    /** Name of the text in findings. */
+    /** File name shown in findings. */
     fileName: z.string().min(1).max(200),
-    /** Version that the commit replaces; 0 for the first. */
+    /** Version that the commit replaces; 0 for the first commit. */
     expectedVersion: version,
     commitId: z.string().min(1).max(200),
     committedBy: z.string().min(1).max(200),
   }),
-  manifestNameSchema,
+  manifestReferenceSchema,
 );
 
-/** Gives the manifest in force on this proxy. */
+/** Returns the manifest in force on this proxy. */
 export const manifestShow = defineMethod(
   'manifest.show',
   z.strictObject({}),
-  z.strictObject({...manifestNameSchema.shape, body: z.string().optional()}),
+  z.strictObject({
+    ...manifestReferenceSchema.shape,
+    body: z.string().optional(),
+  }),
 );
 
 const memberStatusSchema = z.strictObject({
@@ -47,7 +50,7 @@
   reachable: z.boolean(),
   leaving: z.boolean(),
   end: logPositionSchema,
-  /** Upper bound of its data's age, milliseconds. */
+  /** Upper bound of the age of its data, in milliseconds. */
   age: z.number().nonnegative().optional(),
 });
 
@@ -61,42 +64,42 @@
   members: z.array(memberStatusSchema),
 });
 
-/** What a proxy tells of itself. */
+/** The status of a proxy. */
 export const proxyStatusSchema = z.strictObject({
   proxy: proxyIdentitySchema,
-  /** Why it is not ready; absent if it is. */
+  /** Why the proxy is not ready; absent if it is ready. */
   unready: z.string().optional(),
-  manifest: manifestNameSchema,
-  /** Other proxies that it knows to be alive. */
+  manifest: manifestReferenceSchema,
+  /** Proxies that it considers alive. */
   proxies: z.array(proxyIdentitySchema),
   groups: z.array(groupStatusSchema),
   requestsInFlight: z.number().int().nonnegative(),
   openTransactions: z.number().int().nonnegative(),
   audit: z.strictObject({
-    /** Entries not yet in the platform. */
+    /** Entries that are not stored in the platform yet. */
     pending: z.number().int().nonnegative(),
     dropped: z.number().int().nonnegative(),
   }),
 });
 export type ProxyStatus = z.infer<typeof proxyStatusSchema>;
 
-/** Asks a proxy about itself. */
+/** Returns the status of a proxy. */
 export const proxyStatus = defineMethod(
   'status',
   z.strictObject({}),
   proxyStatusSchema,
 );
 
-/** Most rows of the audit table in one page. */
+/** Maximum number of rows of the audit table in one page. */
 export const LARGEST_AUDIT_PAGE = 100;
 
 /** Reads the audit trail, oldest first. */
 export const auditList = defineMethod(
   'audit.list',
   z.strictObject({
-    /** `next` of the page before, or the key of a time; "" for the start. */
+    /** `next` of the previous page, or the key of a time; "" for the start. */
     after: z.string().max(200),
-    /** Rows in the page; each holds the entries of one batch. */
+    /** Maximum number of rows; each holds the entries of one batch. */
     limit: z.number().int().min(1).max(LARGEST_AUDIT_PAGE),
   }),
   auditPageSchema,
--- a/packages/proxy/src/operator_server.ts
+++ b/packages/proxy/src/operator_server.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' port: probes and metrics for all who reach it, and JSON-RPC
- * for those who hold the operators' token.
+ * The server for operators: health checks and metrics without authentication,
+ * and JSON-RPC for clients that send the operator token.
  */
 import {Future, TimerService} from '@kelpstep/runtime';
 import {Address, HandlerTable} from '@kelpstep/rpc';
@@ -11,74 +11,81 @@
 import {
   HttpLimits,
   HttpServer,
-  PlainAnswer,
+  PlainResponse,
   PlainRoute,
   startHttpServer,
 } from './http_server';
 import {createJsonRpcDispatcher} from './json_rpc_dispatcher';
 
-/** What the operators' port is made of. */
-export interface OperatorEdgeOptions {
+/** Options of the operators' server. */
+export interface OperatorServerOptions {
   readonly address: Address;
   readonly limits: HttpLimits;
   readonly timer: TimerService;
-  /** Operators' methods. */
+  /** Methods for operators. */
   readonly handlers: HandlerTable;
-  /** Sent as `Authorization: Bearer ...`. */
+  /** Operator token, sent as `Authorization: Bearer ...`. */
   readonly token: string;
-  /** Why this proxy is not ready, or undefined. */
+  /** Why this proxy is not ready; undefined if it is. */
   readonly unreadyReason: () => string | undefined;
   /** Metrics in the Prometheus text format. */
   readonly renderMetrics: () => string;
 }
 
-const BEARER = /^Bearer +(.+)$/i;
+const BEARER_PATTERN = /^Bearer +(.+)$/i;
 const TEXT_TYPE = 'text/plain; charset=utf-8';
 const METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
-const OK = 200;
-const UNAVAILABLE = 503;
+const OK_STATUS = 200;
+const UNAVAILABLE_STATUS = 503;
 
 function digest(text: string): Buffer {
   return createHash('sha256').update(text).digest();
 }
 
-/** Compares digests, so that the time tells neither content nor length. */
+/** Compares digests, so that the timing reveals neither content nor length. */
 export function createTokenCheck(token: string) {
-  const wanted = digest(token);
+  const expectedDigest = digest(token);
   return (request: IncomingMessage): boolean => {
-    const given = BEARER.exec(request.headers.authorization ?? '')?.[1] ?? '';
-    return timingSafeEqual(digest(given), wanted);
+    const givenToken =
+      BEARER_PATTERN.exec(request.headers.authorization ?? '')?.[1] ?? '';
+    return timingSafeEqual(digest(givenToken), expectedDigest);
   };
 }
 
-function text(status: number, body: string): PlainAnswer {
+function text(status: number, body: string): PlainResponse {
   return {status, contentType: TEXT_TYPE, body: `${body}\n`};
 }
 
 function createRoutes(
-  options: OperatorEdgeOptions,
+  options: OperatorServerOptions,
 ): ReadonlyMap<string, PlainRoute> {
   const {unreadyReason, renderMetrics} = options;
 
-  function readiness(): PlainAnswer {
+  function readiness(): PlainResponse {
     const reason = unreadyReason();
-    return reason === undefined ? text(OK, 'ok') : text(UNAVAILABLE, reason);
+    return reason === undefined
+      ? text(OK_STATUS, 'ok')
+      : text(UNAVAILABLE_STATUS, reason);
   }
 
-  function metrics(): PlainAnswer {
-    return {status: OK, contentType: METRICS_TYPE, body: renderMetrics()};
+  function metrics(): PlainResponse {
+    return {
+      status: OK_STATUS,
+      contentType: METRICS_TYPE,
+      body: renderMetrics(),
+    };
   }
 
   return new Map([
-    ['/healthz', () => text(OK, 'ok')],
+    ['/healthz', () => text(OK_STATUS, 'ok')],
     ['/readyz', readiness],
     ['/metrics', metrics],
   ]);
 }
 
-/** Starts to serve operators. */
-export function startOperatorEdge(
-  options: OperatorEdgeOptions,
+/** Starts the server for operators. */
+export function startOperatorServer(
+  options: OperatorServerOptions,
 ): Future<Result<HttpServer, string>> {
   const {address, limits, timer, handlers, token} = options;
   return startHttpServer({
--- a/packages/proxy/src/peer_server.ts
+++ b/packages/proxy/src/peer_server.ts
@@ -1,4 +1,4 @@
-/** The port for peers: accepts connections and serves their methods. */
+/** The RPC server for peers: accepts connections and serves peer methods. */
 import {
   Address,
   HandlerTable,
@@ -11,14 +11,14 @@
 import {Future, TimerService, mapFuture} from '@kelpstep/runtime';
 import {Ok, Result} from 'ts-results';
 
-/** A port that serves peers. */
-export interface PeerPort {
+/** An RPC server for peers. */
+export interface PeerServer {
   listen(): Future<Result<undefined, TransportError>>;
   close(): void;
 }
 
-/** What the port is made of. */
-export interface PeerPortOptions {
+/** Dependencies and address of a peer server. */
+export interface PeerServerOptions {
   readonly transport: Transport;
   readonly timer: TimerService;
   readonly address: Address;
@@ -27,8 +27,8 @@
 
 const CLOSE_REASON = 'proxy stops';
 
-/** Creates the port; it listens once it is told. */
-export function createPeerPort(options: PeerPortOptions): PeerPort {
+/** Creates a peer server, which accepts connections after `listen`. */
+export function createPeerServer(options: PeerServerOptions): PeerServer {
   const {transport, timer, address, handlers} = options;
   const accepted = new Set<RpcPeer>();
   let listener: Listener | undefined;
--- a/packages/proxy/src/proxy_context.ts
+++ b/packages/proxy/src/proxy_context.ts
@@ -1,4 +1,4 @@
-/** What a proxy is made of, and what it offers to the edges. */
+/** The dependencies of a proxy, and its interface to the HTTP servers. */
 import type {FailoverTimings} from '@kelpstep/failover';
 import type {Settings} from '@kelpstep/manifest';
 import type {Logger} from '@kelpstep/observability';
@@ -9,47 +9,48 @@
 import type {Future, Runtime} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-import type {AnswerListener} from './json_rpc_dispatcher';
+import type {ResponseListener} from './json_rpc_dispatcher';
 
-/** What a proxy needs of its surroundings. */
+/** Dependencies of a proxy. */
 export interface ProxyContext {
-  /** Runs all its tasks; shutting it down is like killing the process. */
+  /** Runs all tasks. Shutting it down has the effect of killing the process. */
   readonly runtime: Runtime;
   /** Connections to targets and peers. */
   readonly transport: Transport;
   readonly platform: PlatformClient;
   readonly logger: Logger;
-  /** Policies and times that differ from the defaults. */
+  /** Policies and timings that override the defaults. */
   readonly policies?: Partial<RequestPolicies>;
   readonly timings?: Partial<FailoverTimings>;
-  /** Called when serving a request throws; by default that is thrown on. */
-  readonly onRequestFault?: (error: unknown, method: string) => void;
+  /** Called when serving a request throws. By default the error is rethrown. */
+  readonly onRequestError?: (error: unknown, method: string) => void;
 }
 
-/** A proxy without its HTTP edges. */
+/** A proxy without its HTTP servers. */
 export interface Proxy {
   readonly settings: Settings;
   readonly identity: ProxyIdentity;
-  /** Callers' methods. */
+  /** Methods for callers. */
   readonly callerHandlers: HandlerTable;
-  /** Operators' methods. */
+  /** Methods for operators. */
   readonly operatorHandlers: HandlerTable;
-  /** Gets the answers of the callers' edge, for logs and metrics. */
-  readonly onCallerAnswer: AnswerListener;
+  /** Records the responses of the callers' server in logs and metrics. */
+  readonly onCallerResponse: ResponseListener;
   /** Listens for peers and starts all tasks. */
   start(): Future<Result<undefined, TransportError>>;
-  /** Why balancers should send no callers, or undefined. */
+  /** Why load balancers should send no requests; undefined if ready. */
   unreadyReason(): string | undefined;
-  /** Version of the manifest in force; 0 without one. */
+  /** Version of the manifest in force; 0 without a manifest. */
   manifestVersion(): number;
   /** Metrics in the Prometheus text format. */
   renderMetrics(): string;
   /**
-   * Graceful stop: unready at once, goes on accepting for the manifest's
-   * `acceptTime`, then lets transactions end within `drainTime`. Settles once
-   * nothing is in flight; requests are still answered, with `STOPPING`.
+   * Stops gracefully: the proxy is unready at once, accepts requests for the
+   * `acceptTime` of the manifest, then refuses them with `STOPPING` and lets
+   * transactions end within `drainTime`. Settles once no request is in flight;
+   * later requests are still answered with `STOPPING`.
    */
   stop(): Future<undefined>;
-  /** Closes all connections; for after `stop`. */
+  /** Closes all connections. To be called after `stop`. */
   close(): void;
 }
--- a/packages/proxy/src/request_metrics.ts
+++ b/packages/proxy/src/request_metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of the request path. */
+/** Metrics of requests and of the load on targets. */
 import type {
   GaugeSample,
   MetricsRegistry,
@@ -7,23 +7,23 @@
 import type {RequestEnd, RequestService, TargetLoad} from '@kelpstep/routing';
 
 const OTHER_KIND = 'other';
-const SHED = new Set(['OVERLOADED', 'TIMED_OUT']);
+const SHED_OUTCOMES = new Set(['OVERLOADED', 'TIMED_OUT']);
 
-/** Creates the listener that records how requests ended. */
+/** Creates the listener that records the outcomes of requests. */
 export function createRequestRecorder(
   metrics: ProxyMetrics,
   isKind: (name: string) => boolean,
 ): (end: RequestEnd) => void {
   return end => {
     const {method, outcome, duration, role, retries} = end;
-    // Callers make names up; the number of series has to stay bounded.
+    // Callers may send any kind; known kinds bound the number of time series.
     const kind =
       end.kind !== undefined && isKind(end.kind) ? end.kind : OTHER_KIND;
     metrics.requestEnded(kind, method, outcome, duration);
     if (method === 'read' && outcome === 'ok' && role !== undefined) {
       metrics.readServed(role);
     }
-    if (SHED.has(outcome)) {
+    if (SHED_OUTCOMES.has(outcome)) {
       metrics.requestShed();
     }
     if (retries > 0) {
@@ -32,7 +32,7 @@
   };
 }
 
-/** Registers gauges of the load on targets. */
+/** Registers the gauges of the load on targets and of open requests. */
 export function registerLoadGauges(
   registry: MetricsRegistry,
   requests: RequestService,
--- a/packages/proxy/src/response_observer.ts
+++ b/packages/proxy/src/response_observer.ts
@@ -1,36 +1,36 @@
-/** Logs answers by their request ids, and counts what the edge refused. */
+/** Logs responses by request id and counts requests rejected by the server. */
 import type {Logger, ProxyMetrics} from '@kelpstep/observability';
 import type {ErrorName} from '@kelpstep/protocol';
 
-import type {AnswerListener, RequestId} from './json_rpc_dispatcher';
+import type {ResponseListener, RequestId} from './json_rpc_dispatcher';
 
-/** Errors of requests that no method got to see. */
-const REJECTIONS: ReadonlySet<ErrorName> = new Set<ErrorName>([
+/** Errors of requests that are rejected before a method handles them. */
+const REJECTION_ERRORS: ReadonlySet<ErrorName> = new Set<ErrorName>([
   'PARSE_ERROR',
   'INVALID_REQUEST',
   'METHOD_NOT_FOUND',
   'INVALID_PARAMETERS',
 ]);
-const LONGEST_LOGGED_ID = 100;
+const MAXIMUM_LOGGED_ID_LENGTH = 100;
 
-function shownId(id: RequestId | null): string {
-  return String(id ?? '').slice(0, LONGEST_LOGGED_ID);
+function formatId(id: RequestId | null): string {
+  return String(id ?? '').slice(0, MAXIMUM_LOGGED_ID_LENGTH);
 }
 
-/** Creates the listener of an edge's answers. */
-export function createAnswerObserver(
+/** Creates the listener for the responses of a server. */
+export function createResponseObserver(
   logger: Logger,
   metrics: ProxyMetrics,
-): AnswerListener {
+): ResponseListener {
   return ({id, method, failure}) => {
-    if (failure !== undefined && REJECTIONS.has(failure.name)) {
+    if (failure !== undefined && REJECTION_ERRORS.has(failure.name)) {
       metrics.requestRejected(failure.name);
     }
     if (failure?.name === 'INTERNAL_ERROR') {
-      logger.error('fault', {requestId: shownId(id), method});
+      logger.error('fault', {requestId: formatId(id), method});
     } else if (logger.isDebugEnabled()) {
       logger.debug('answered', {
-        requestId: shownId(id),
+        requestId: formatId(id),
         method,
         error: failure?.name,
         outcome: failure?.outcome ?? 'ok',
--- a/packages/proxy/src/responsibilities.ts
+++ b/packages/proxy/src/responsibilities.ts
@@ -1,23 +1,26 @@
-/** Which of the work that few proxies do for all falls to this one. */
+/** Determines which shared tasks this proxy performs for other proxies. */
 import type {Membership} from '@kelpstep/membership';
 
-/** Proxies that watch a group. */
-const WATCHERS = 3;
-/** Proxies of each data centre that read the platform for the others. */
-const POLLERS = 2;
+/** Number of proxies that run a failure detector for a group. */
+const DETECTORS_PER_GROUP = 3;
+/** Number of proxies per data centre that poll the platform for the others. */
+const POLLERS_PER_DATA_CENTRE = 2;
 
-/** What this proxy does for others. */
+/** The shared tasks of this proxy. */
 export interface Responsibilities {
-  /** Rank as watcher of a group, 0 first; undefined if it is none. */
+  /**
+   * Rank among the failure detectors of a group, counted from 0; undefined if
+   * this proxy does not monitor the group.
+   */
   watchRank(group: string): number | undefined;
-  /** True if it reads something of the platform for its data centre. */
+  /** Returns whether this proxy polls the data for its data centre. */
   polls(what: 'manifest' | 'instances'): boolean;
 }
 
 /**
- * Reads responsibilities off the membership. Ranks are kept until the live
- * proxies change: a watcher asks for its rank at each look at its group, and
- * to rank among thousands of proxies takes long.
+ * Derives responsibilities from the membership. Ranks are cached until the live
+ * proxies change, as a failure detector needs its rank at every check of its
+ * group, and ranking thousands of proxies is slow.
  */
 export function createResponsibilities(
   membership: Membership,
@@ -27,13 +30,13 @@
   const ranks = new Map<string, number>();
   membership.onChange(() => ranks.clear());
 
-  /** Below 0 if it is none of the watchers. */
+  /** Returns a value below 0 if this proxy does not monitor the group. */
   function findRank(group: string): number {
-    if (!membership.isResponsible(group, WATCHERS)) {
+    if (!membership.isResponsible(group, DETECTORS_PER_GROUP)) {
       return -1;
     }
     return membership
-      .responsibleFor(group, WATCHERS)
+      .responsibleFor(group, DETECTORS_PER_GROUP)
       .findIndex(
         other => other.proxy === proxy && other.incarnation === incarnation,
       );
@@ -45,6 +48,7 @@
       ranks.set(group, rank);
       return rank < 0 ? undefined : rank;
     },
-    polls: what => membership.isResponsible(what, POLLERS, dataCentre),
+    polls: what =>
+      membership.isResponsible(what, POLLERS_PER_DATA_CENTRE, dataCentre),
   };
 }
