--- a/packages/manifest/src/finding.ts
+++ b/packages/manifest/src/finding.ts
@@ -43,7 +43,7 @@
     .join('');
 }
 
-/** Formats a finding in one line: `file.yaml:12:7: path: expected a, found b`. */
+/** Formats a finding: `file.yaml:12:7: path: expected this, found that`. */
 export function formatFinding(finding: Finding): string {
   const {severity, file, line, column, path, expected, found} = finding;
   const prefix = severity === 'warning' ? 'warning: ' : '';
--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -37,11 +37,11 @@
 export interface ManifestSynchronizerOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
-  /** Returns whether this proxy is one of the proxies that poll the platform. */
+  /** Returns whether this proxy is one of those that poll the platform. */
   readonly polls: () => boolean;
-  /** Addresses of the peers to request from at startup, preferred ones first. */
+  /** Addresses of the peers to query at startup, preferred ones first. */
   readonly peers: () => readonly string[];
-  /** Requests a manifest above a version from a peer. Settles within a timeout. */
+  /** Requests a manifest above a version from a peer, with a timeout. */
   readonly fetchManifest: (
     address: string,
     above: number,
@@ -69,9 +69,9 @@
   readonly ready: Future<AcceptedManifest>;
   /** Registers a listener that is called with each manifest put in force. */
   onChange(listener: (manifest: AcceptedManifest) => void): Unsubscribe;
-  /** Puts a manifest in force if it is valid and newer. Returns whether it was. */
+  /** Puts a manifest in force if it is valid and newer; true if it did. */
   offer(offered: OfferedManifest): boolean;
-  /** Notes the version that a peer has. A newer one is fetched from the peer. */
+  /** Notes the version of a peer. A newer one is fetched from that peer. */
   notePeerVersion(version: number, address: string): void;
   /** Registers the handler of `peer.manifest`. */
   serve(handlers: HandlerTable): void;
@@ -174,7 +174,7 @@
     }
   }
 
-  /** Requests the manifest from several peers and accepts the highest version. */
+  /** Requests the manifest from several peers and accepts the highest one. */
   function* requestFromPeers(): Task<void> {
     const addresses = options.peers().slice(0, START_PEER_COUNT);
     const deadline = runtime.timer.now() + START_TIMEOUT_MS;
--- a/packages/manifest/src/manifest_update.ts
+++ b/packages/manifest/src/manifest_update.ts
@@ -83,8 +83,8 @@
 }
 
 /**
- * Returns the issues that rule out `next` as the version after `previous`. Their
- * paths refer to the data of `next`.
+ * Returns the issues that rule out `next` as the version after `previous`.
+ * Their paths refer to the data of `next`.
  */
 export function checkSuccession(
   previous: Manifest,
--- a/packages/manifest/src/yaml_document.ts
+++ b/packages/manifest/src/yaml_document.ts
@@ -159,7 +159,7 @@
   return {locate, locateSyntaxError, aliasFindings};
 }
 
-/** Schema findings after such an error would only repeat those of the parser. */
+/** After a fatal error, schema findings would only repeat the parser's. */
 function isFatal(error: YAMLError): boolean {
   return error.code !== 'DUPLICATE_KEY';
 }
--- a/packages/proxy/src/create_proxy.ts
+++ b/packages/proxy/src/create_proxy.ts
@@ -55,7 +55,7 @@
 const MANIFEST_FETCH_TIMEOUT_MS: Milliseconds = 1000;
 /** Minimum time for which new requests are refused before the servers close. */
 const MINIMUM_REFUSAL_TIME_MS: Milliseconds = 500;
-/** Maximum time that a stopping proxy waits for the audit trail to be stored. */
+/** Maximum time that a stopping proxy waits to store the audit trail. */
 const AUDIT_FLUSH_TIMEOUT_MS: Milliseconds = 2000;
 
 function identityOf(settings: Settings, runtime: Runtime): ProxyIdentity {
--- a/packages/proxy/src/daemon.ts
+++ b/packages/proxy/src/daemon.ts
@@ -23,7 +23,7 @@
 export interface Daemon {
   readonly proxy: Proxy;
   readonly logger: Logger;
-  /** Stops gracefully. Resolves once all requests are answered and all is closed. */
+  /** Stops gracefully. Resolves once requests are answered and sockets closed. */
   stop(): Promise<void>;
 }
 
