--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -37,7 +37,7 @@
 export interface ManifestSynchronizerOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
-  /** Returns whether this proxy is one of those that poll the platform. */
+  /** Returns whether this proxy polls the platform. */
   readonly polls: () => boolean;
   /** Addresses of the peers to query at startup, preferred ones first. */
   readonly peers: () => readonly string[];
