--- a/packages/cli/src/command_line.ts
+++ b/packages/cli/src/command_line.ts
@@ -1,4 +1,4 @@
-/** The command line: commands, help, version and exit codes. */
+/** Parses a command line, runs its command and returns the exit code. */
 import yargs from 'yargs';
 
 import cliPackage from '../package.json';
@@ -14,7 +14,7 @@
 import {ConsoleOutput} from './console_output';
 import {EXIT_CODES, ExitCode} from './exit_code';
 
-const COMMANDS: readonly CommandBuilder[] = [
+const COMMAND_BUILDERS: readonly CommandBuilder[] = [
   addProxyCommand,
   addManifestCommands,
   addAccountCommand,
@@ -26,16 +26,19 @@
 ];
 
 const EXIT_CODE_HELP =
-  'Exit codes: 0 done, 1 failed and not run, 2 wrong usage, 3 findings in a ' +
-  'file, 4 another commit came first, 5 outcome unknown.';
+  'Exit codes: 0 success, 1 failure (nothing was run), 2 wrong usage, 3 ' +
+  'findings in a file, 4 version conflict, 5 outcome unknown.';
 
-/** What the command line needs of its surroundings. */
+/** Output and environment variables of a command line. */
 export interface CommandLineOptions {
   readonly output: ConsoleOutput;
   readonly environment: Readonly<Record<string, string | undefined>>;
 }
 
-/** Runs a command line without the program's name; gives the exit code. */
+/**
+ * Runs a command and returns its exit code. `parameters` leave out the name of
+ * the program.
+ */
 export async function runCommandLine(
   parameters: readonly string[],
   options: CommandLineOptions,
@@ -50,7 +53,10 @@
     },
   };
 
-  function fail(message: string | undefined, error: Error | undefined): never {
+  function throwUsageError(
+    message: string | undefined,
+    error: Error | undefined,
+  ): never {
     throw error ?? new Error(message);
   }
 
@@ -66,8 +72,8 @@
     .epilogue(EXIT_CODE_HELP)
     .wrap(null)
     .exitProcess(false)
-    .fail(fail);
-  COMMANDS.forEach(add => add(parser, context));
+    .fail(throwUsageError);
+  COMMAND_BUILDERS.forEach(add => add(parser, context));
   try {
     await parser.parseAsync([...parameters], {}, (unused, unusedArgv, text) => {
       if (text !== '') {
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -7,7 +7,7 @@
 
 import {CommandContext, reportFailure} from '../command';
 import type {HttpClient} from '../http_client';
-import {operatorClientOf, withOperatorOptions} from '../operator_client';
+import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
 /** Writes a line of JSON an entry, oldest first. */
 async function printEntries(
@@ -53,7 +53,7 @@
       if (Number.isNaN(since)) {
         throw new Error('--since has to be a time like 2026-01-31T12:00:00Z.');
       }
-      const client = operatorClientOf(context, options);
+      const client = createOperatorClient(context, options);
       if (client !== undefined) {
         await printEntries(context, client, auditKeyAt(since));
       }
--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -3,7 +3,7 @@
 import type {Result} from 'ts-results';
 import type {Argv} from 'yargs';
 
-import {CommandContext, report} from '../command';
+import {CommandContext, reportResult} from '../command';
 import {createHttpClient} from '../http_client';
 import {
   RequestOptions,
@@ -55,7 +55,7 @@
         ...(maximumAge === undefined ? {} : {maximumAge}),
         statement: statementOf(options),
       });
-      report(context, reply);
+      reportResult(context, reply);
     },
   );
 }
@@ -75,7 +75,7 @@
         ...(key === undefined ? {} : {key}),
         statement: statementOf(options),
       });
-      report(context, withKey(reply, key));
+      reportResult(context, withKey(reply, key));
     },
   );
 }
@@ -88,7 +88,7 @@
     async options => {
       const fields = requestFieldsOf(options, context.environment, Date.now());
       const client = clientOf(options);
-      report(context, await client.request(CALLER_METHODS.begin, fields));
+      reportResult(context, await client.request(CALLER_METHODS.begin, fields));
     },
   );
 }
@@ -110,7 +110,7 @@
         transaction: options.transaction,
         ...(key === undefined ? {} : {key}),
       });
-      report(context, withKey(reply, key));
+      reportResult(context, withKey(reply, key));
     },
   );
 }
@@ -129,7 +129,7 @@
         ...requestFieldsOf(options, context.environment, Date.now()),
         transaction: options.transaction,
       });
-      report(context, reply);
+      reportResult(context, reply);
     },
   );
 }
@@ -150,7 +150,7 @@
         ...requestFieldsOf(options, context.environment, now),
         key: parseKey(options.key, now),
       });
-      report(context, reply);
+      reportResult(context, reply);
     },
   );
 }
--- a/packages/cli/src/commands/call_transaction.ts
+++ b/packages/cli/src/commands/call_transaction.ts
@@ -8,7 +8,7 @@
 import {Err, Ok, Result} from 'ts-results';
 import type {Argv} from 'yargs';
 
-import {CommandContext, report} from '../command';
+import {CommandContext, reportResult} from '../command';
 import type {HttpClient} from '../http_client';
 import {
   RequestOptions,
@@ -115,7 +115,7 @@
         options.statements.map(parseStep),
         parseKey(options.key, now),
       );
-      report(context, reply);
+      reportResult(context, reply);
     },
   );
 }
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -5,7 +5,7 @@
 import type {CommandContext} from '../command';
 import {DEMO_GROUP, startDemoCluster} from '../demo/demo_cluster';
 import {tellStory} from '../demo/demo_story';
-import {stopSignal} from '../stop_signal';
+import {waitForStopSignal} from '../stop_signal';
 
 /** Adds the command. */
 export function addDemoCommand(yargs: Argv, context: CommandContext): Argv {
@@ -21,7 +21,7 @@
     async ({once}) => {
       const {output} = context;
       enableLogs('warn', context.environment['DEBUG']);
-      const signalled = stopSignal();
+      const signalled = waitForStopSignal();
       const cluster = await startDemoCluster();
       const token = await tellStory(cluster, output);
       if (!once) {
--- a/packages/cli/src/commands/manifest.ts
+++ b/packages/cli/src/commands/manifest.ts
@@ -14,11 +14,11 @@
 import {basename} from 'node:path';
 import type {Argv} from 'yargs';
 
-import {CommandContext, report, reportFailure} from '../command';
+import {CommandContext, reportResult, reportFailure} from '../command';
 import {EXIT_CODES} from '../exit_code';
 import type {HttpClient} from '../http_client';
 import {
-  operatorClientOf,
+  createOperatorClient,
   readFileOrReport,
   withOperatorOptions,
 } from '../operator_client';
@@ -121,7 +121,7 @@
         }),
     async options => {
       const body = readFileOrReport(context, options.file);
-      const client = operatorClientOf(context, options);
+      const client = createOperatorClient(context, options);
       if (body === undefined || client === undefined) {
         return;
       }
@@ -141,7 +141,7 @@
         commitId,
         committedBy: options.by ?? userInfo().username,
       });
-      report(context, reply);
+      reportResult(context, reply);
       if (reply.err && reply.val.outcome === 'unknown') {
         context.output.error(
           `Repeat with --commit-id ${commitId} ` +
@@ -163,7 +163,7 @@
         describe: 'Write the YAML text alone',
       }),
     async options => {
-      const client = operatorClientOf(context, options);
+      const client = createOperatorClient(context, options);
       if (client === undefined) {
         return;
       }
@@ -171,7 +171,7 @@
       if (reply.ok && options.body) {
         context.output.line(reply.val.body ?? '');
       } else {
-        report(context, reply);
+        reportResult(context, reply);
       }
     },
   );
--- a/packages/cli/src/commands/manifest_watch.ts
+++ b/packages/cli/src/commands/manifest_watch.ts
@@ -6,7 +6,7 @@
 import type {CommandContext} from '../command';
 import {EXIT_CODES} from '../exit_code';
 import type {HttpClient} from '../http_client';
-import {operatorClientOf, withOperatorOptions} from '../operator_client';
+import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
 /** A proxy and the version that it runs; undefined if it doesn't answer. */
 interface Observation {
@@ -71,7 +71,7 @@
       const end = Date.now() + limit;
       const clients = named.map(operator => ({
         address: operator ?? '',
-        client: operatorClientOf(context, {...options, operator}),
+        client: createOperatorClient(context, {...options, operator}),
       }));
       for (;;) {
         const observations: Observation[] = [];
--- a/packages/cli/src/commands/proxy.ts
+++ b/packages/cli/src/commands/proxy.ts
@@ -6,7 +6,7 @@
 import type {CommandContext} from '../command';
 import {EXIT_CODES} from '../exit_code';
 import {readSettingsOrReport} from '../operator_client';
-import {stopSignal} from '../stop_signal';
+import {waitForStopSignal} from '../stop_signal';
 
 /** Adds the command. */
 export function addProxyCommand(yargs: Argv, context: CommandContext): Argv {
@@ -25,7 +25,7 @@
         return;
       }
       enableLogs(settings.logLevel, context.environment['DEBUG']);
-      const signalled = stopSignal();
+      const signalled = waitForStopSignal();
       const daemon = await startDaemon(settings);
       if (daemon.err) {
         context.output.error(daemon.val);
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -2,8 +2,8 @@
 import {proxyStatus} from '@kelpstep/proxy';
 import type {Argv} from 'yargs';
 
-import {CommandContext, report} from '../command';
-import {operatorClientOf, withOperatorOptions} from '../operator_client';
+import {CommandContext, reportResult} from '../command';
+import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
 /** Adds the command. */
 export function addStatusCommand(yargs: Argv, context: CommandContext): Argv {
@@ -12,9 +12,9 @@
     'Show groups, members and readiness of a proxy',
     withOperatorOptions,
     async options => {
-      const client = operatorClientOf(context, options);
+      const client = createOperatorClient(context, options);
       if (client !== undefined) {
-        report(context, await client.request(proxyStatus, {}));
+        reportResult(context, await client.request(proxyStatus, {}));
       }
     },
   );
--- a/packages/cli/src/console_output.ts
+++ b/packages/cli/src/console_output.ts
@@ -1,12 +1,12 @@
-/** Where a command writes: results on one stream, all else on the other. */
+/** Standard output and standard error of a command. */
 
-/** The streams of a command. */
+/** Receives the output of a command. */
 export interface ConsoleOutput {
-  /** Writes a result as JSON. */
+  /** Writes a result to standard output as JSON. */
   result(value: unknown): void;
-  /** Writes a line of a story or of help. */
+  /** Writes a line of text to standard output. */
   line(text: string): void;
-  /** Writes a line that is no result: an error, a hint. */
+  /** Writes an error or a hint to standard error. */
   error(text: string): void;
 }
 
--- a/packages/cli/src/exit_code.ts
+++ b/packages/cli/src/exit_code.ts
@@ -1,25 +1,24 @@
 /** Exit codes of the `kelpstep` command; docs/INTERFACE.md lists them. */
 import type {ErrorName, Outcome} from '@kelpstep/protocol';
 
-/** Exit codes by meaning. */
 export const EXIT_CODES = {
-  /** Done. */
+  /** The command succeeded. */
   ok: 0,
-  /** Refused or failed; nothing was run. */
+  /** The request was rejected or failed, and nothing was run. */
   failure: 1,
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   usage: 2,
-  /** A file has findings. */
+  /** A settings file or manifest has findings. */
   findings: 3,
-  /** Another operator's commit came first. */
+  /** The manifest version to replace is no longer the current one. */
   conflict: 4,
-  /** The request may have run; ask again with the same key. */
+  /** The request may have run; repeat it with the same idempotency key. */
   unknownOutcome: 5,
 } as const;
 export type ExitCode = (typeof EXIT_CODES)[keyof typeof EXIT_CODES];
 
-/** The exit code of a request that failed. */
-export function exitCodeOf(name: ErrorName, outcome: Outcome): ExitCode {
+/** Returns the exit code of a failed request. */
+export function getExitCode(name: ErrorName, outcome: Outcome): ExitCode {
   if (name === 'VERSION_CONFLICT') {
     return EXIT_CODES.conflict;
   }
--- a/packages/cli/src/http_client.ts
+++ b/packages/cli/src/http_client.ts
@@ -1,41 +1,48 @@
-/** JSON-RPC 2.0 over HTTP, as callers and operators speak it to a proxy. */
+/** JSON-RPC 2.0 client over HTTP for the callers' and operators' ports. */
 import {Failure, Method, createFailure} from '@kelpstep/protocol';
 import {decodeFailure} from '@kelpstep/rpc';
 import {createJSONRPCRequest, type JSONRPCResponse} from 'json-rpc-2.0';
 import {Err, Ok, Result} from 'ts-results';
 
-/** Sends requests to one proxy. */
+/** Sends requests to one port of one proxy. */
 export interface HttpClient {
-  /** Sends a request; a lost answer is a failure of unknown outcome. */
+  /**
+   * Sends a request. A missing or invalid response is a failure of unknown
+   * outcome; a refused connection is one of a request that was not run.
+   */
   request<P, R>(
     method: Method<P, R>,
     parameters: P,
   ): Promise<Result<R, Failure>>;
 }
 
-/** What a client is made of. */
+/** Address, credentials and timeout of a client. */
 export interface HttpClientOptions {
   /** `ip:port` of the proxy. */
   readonly address: string;
-  /** Operators' token. */
+  /** Bearer token, required by the operators' port. */
   readonly token?: string;
-  /** Longest wait for an answer, milliseconds. */
+  /** Maximum wait for a response, in milliseconds. */
   readonly timeout: number;
 }
 
-/** Error codes of connections that never came to be. */
-const NOT_CONNECTED = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
+/** Codes of errors before a connection exists: the request was not sent. */
+const NOT_CONNECTED_CODES = new Set([
+  'ECONNREFUSED',
+  'EHOSTUNREACH',
+  'ENETUNREACH',
+]);
 
-function connectionErrorCode(error: unknown): string {
+function getConnectionErrorCode(error: unknown): string {
   const cause = error instanceof Error ? error.cause : undefined;
   return typeof cause === 'object' && cause !== null && 'code' in cause
     ? String(cause.code)
     : '';
 }
 
-function lostAnswer(error: unknown, address: string): Failure {
-  const code = connectionErrorCode(error);
-  if (NOT_CONNECTED.has(code)) {
+function createRequestFailure(error: unknown, address: string): Failure {
+  const code = getConnectionErrorCode(error);
+  if (NOT_CONNECTED_CODES.has(code)) {
     const message = `No proxy answers at ${address}.`;
     return createFailure('NOT_READY', {message});
   }
@@ -44,7 +51,7 @@
   return createFailure('OUTCOME_UNKNOWN', {message});
 }
 
-/** Creates a client of one proxy. */
+/** Creates a client for one port of one proxy. */
 export function createHttpClient(options: HttpClientOptions): HttpClient {
   const {address, token, timeout} = options;
   const headers: Record<string, string> = {
@@ -69,12 +76,12 @@
   ): Promise<Result<R, Failure>> {
     const message = createJSONRPCRequest(nextId++, method.name, parameters);
     try {
-      const answer = await post(JSON.stringify(message));
-      return answer.error
-        ? Err(decodeFailure(answer.error))
-        : Ok(method.result.parse(answer.result));
+      const response = await post(JSON.stringify(message));
+      return response.error
+        ? Err(decodeFailure(response.error))
+        : Ok(method.result.parse(response.result));
     } catch (error) {
-      return Err(lostAnswer(error, address));
+      return Err(createRequestFailure(error, address));
     }
   }
 
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The `kelpstep` command. */
+/** Entry point of the `kelpstep` command. */
 import {runCommandLine} from './command_line';
 import {createConsoleOutput} from './console_output';
 
--- a/packages/cli/src/operator_client.ts
+++ b/packages/cli/src/operator_client.ts
@@ -1,4 +1,4 @@
-/** The client of operators' commands: address and token from where they are. */
+/** Options, files and HTTP client of operator commands. */
 import {Settings, formatFinding, readSettings} from '@kelpstep/manifest';
 import {readFileSync} from 'node:fs';
 import type {Argv} from 'yargs';
@@ -7,20 +7,20 @@
 import {EXIT_CODES} from './exit_code';
 import {HttpClient, createHttpClient} from './http_client';
 
-/** Options of operators' commands. */
+/** Options that all operator commands have. */
 export interface OperatorOptions {
   readonly operator: string | undefined;
   readonly settings: string | undefined;
   readonly timeout: number;
 }
 
-/** Variable with the operators' token, if no settings are given. */
+/** Environment variable with the operators' token; overrides the settings. */
 export const OPERATOR_TOKEN_VARIABLE = 'KELPSTEP_OPERATOR_TOKEN';
 
 const DEFAULT_OPERATOR_ADDRESS = '127.0.0.1:7301';
-const DEFAULT_TIMEOUT = 15_000;
+const DEFAULT_TIMEOUT_MS = 15_000;
 
-/** Adds the options of operators' commands. */
+/** Adds the options of operator commands. */
 export function withOperatorOptions<T>(yargs: Argv<T>) {
   return yargs
     .option('operator', {
@@ -29,16 +29,16 @@
     })
     .option('settings', {
       type: 'string',
-      describe: `Settings of a proxy: its operators' address and token; the token may also stand in ${OPERATOR_TOKEN_VARIABLE}`,
+      describe: `Settings file of a proxy, for its operators' address and token; ${OPERATOR_TOKEN_VARIABLE} overrides the token`,
     })
     .option('timeout', {
       type: 'number',
-      default: DEFAULT_TIMEOUT,
-      describe: 'Longest wait for an answer, milliseconds',
+      default: DEFAULT_TIMEOUT_MS,
+      describe: 'Maximum wait for a response, in milliseconds',
     });
 }
 
-/** Reads a file, or reports why not. */
+/** Reads a file, or reports the error and returns undefined. */
 export function readFileOrReport(
   context: CommandContext,
   file: string,
@@ -52,7 +52,7 @@
   }
 }
 
-/** Reads settings, or reports all their findings. */
+/** Reads a settings file, or reports its findings and returns undefined. */
 export function readSettingsOrReport(
   context: CommandContext,
   file: string,
@@ -70,16 +70,19 @@
   return undefined;
 }
 
-/** Creates the client that the options name, or reports why it can't. */
-export function operatorClientOf(
+/**
+ * Creates a client for the operators' port that the options name. Returns
+ * undefined, after a report, if the settings file is unreadable or invalid.
+ */
+export function createOperatorClient(
   context: CommandContext,
   options: OperatorOptions,
 ): HttpClient | undefined {
   const {timeout} = options;
-  const given = context.environment[OPERATOR_TOKEN_VARIABLE];
+  const environmentToken = context.environment[OPERATOR_TOKEN_VARIABLE];
   if (options.settings === undefined) {
     const address = options.operator ?? DEFAULT_OPERATOR_ADDRESS;
-    return createHttpClient({address, token: given ?? '', timeout});
+    return createHttpClient({address, token: environmentToken ?? '', timeout});
   }
   const settings = readSettingsOrReport(context, options.settings);
   if (settings === undefined) {
@@ -87,7 +90,7 @@
   }
   return createHttpClient({
     address: options.operator ?? settings.addresses.operators,
-    token: given ?? settings.operatorToken,
+    token: environmentToken ?? settings.operatorToken,
     timeout,
   });
 }
--- a/packages/cli/src/stop_signal.ts
+++ b/packages/cli/src/stop_signal.ts
@@ -1,22 +1,22 @@
-/** Waits for the signals that ask a process to stop. */
+/** Handles the signals that stop a process. */
 import {EXIT_CODES} from './exit_code';
 
-const SIGNALS = ['SIGTERM', 'SIGINT'] as const;
+const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
 /**
- * Resolves at the first signal. A second one ends the process at once, for an
- * operator who won't wait for the graceful stop.
+ * Resolves at the first SIGTERM or SIGINT. A second one exits the process
+ * immediately, so that an operator need not wait for a graceful stop.
  */
-export function stopSignal(): Promise<NodeJS.Signals> {
+export function waitForStopSignal(): Promise<NodeJS.Signals> {
   return new Promise(resolve => {
     let received = false;
-    function receive(signal: NodeJS.Signals): void {
+    function handleSignal(signal: NodeJS.Signals): void {
       if (received) {
         process.exit(EXIT_CODES.failure);
       }
       received = true;
       resolve(signal);
     }
-    SIGNALS.forEach(signal => process.on(signal, receive));
+    STOP_SIGNALS.forEach(signal => process.on(signal, handleSignal));
   });
 }
