--- a/packages/cli/src/commands/account.ts
+++ b/packages/cli/src/commands/account.ts
@@ -1,4 +1,4 @@
-/** `kelpstep account`: makes a key of a client account. */
+/** `kelpstep account`: generates a key for a client account. */
 import {digestKey} from '@kelpstep/accounts';
 import {randomBytes} from 'node:crypto';
 import type {Argv} from 'yargs';
@@ -7,16 +7,16 @@
 
 const KEY_BYTES = 24;
 
-/** Adds the command. */
+/** Adds `account`. */
 export function addAccountCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'account <name>',
-    'Make a key: it goes to the caller, its digest into the manifest',
+    'Generate a key for the caller and its digest for the manifest',
     builder =>
       builder.positional('name', {
         type: 'string',
         demandOption: true,
-        describe: 'Name of the account',
+        describe: 'Name of the client account',
       }),
     ({name}) => {
       const key = randomBytes(KEY_BYTES).toString('base64url');
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -1,4 +1,4 @@
-/** `kelpstep audit`: the trail of changes. */
+/** `kelpstep audit`: lists the audit trail. */
 import {AuditPage, auditKeyAt} from '@kelpstep/observability';
 import {LARGEST_AUDIT_PAGE, auditList} from '@kelpstep/proxy';
 import type {Failure} from '@kelpstep/protocol';
@@ -9,13 +9,13 @@
 import type {HttpClient} from '../http_client';
 import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
-/** Writes a line of JSON an entry, oldest first. */
+/** Writes each entry after `startKey` as one line of JSON, oldest first. */
 async function printEntries(
   context: CommandContext,
   client: HttpClient,
-  start: string,
+  startKey: string,
 ): Promise<void> {
-  let after: string | undefined = start;
+  let after: string | undefined = startKey;
   let dropped = 0;
   while (after !== undefined) {
     const page: Result<AuditPage, Failure> = await client.request(auditList, {
@@ -34,24 +34,28 @@
     after = page.val.next;
   }
   if (dropped > 0) {
-    context.output.error(`${dropped} entries were lost in outages.`);
+    context.output.error(
+      `Audit trail incomplete: ${dropped} entries were lost in platform outages.`,
+    );
   }
 }
 
-/** Adds the command. */
+/** Adds `audit`. */
 export function addAuditCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'audit',
-    'Show the trail of changes, oldest first',
+    'Show the audit trail, oldest entry first',
     builder =>
       withOperatorOptions(builder).option('since', {
         type: 'string',
-        describe: 'Entries stored at or after this time, ISO 8601',
+        describe: 'Only entries stored at or after this time, ISO 8601',
       }),
     async options => {
       const since = options.since === undefined ? 0 : Date.parse(options.since);
       if (Number.isNaN(since)) {
-        throw new Error('--since has to be a time like 2026-01-31T12:00:00Z.');
+        throw new Error(
+          '--since must be an ISO 8601 time such as 2026-01-31T12:00:00Z.',
+        );
       }
       const client = createOperatorClient(context, options);
       if (client !== undefined) {
--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -7,28 +7,29 @@
 import {createHttpClient} from '../http_client';
 import {
   RequestOptions,
-  requestFieldsOf,
-  statementOf,
-  transactionFieldOf,
+  buildRequestFields,
+  buildStatement,
+  buildTransactionField,
   withRequestOptions,
   withStatementOptions,
 } from './call_options';
 import {addTransactionCommand} from './call_transaction';
 import {KEY_OPTION, formatKey, parseKey} from './key_option';
 
-/** Time beyond the request's own in which its answer may arrive. */
-const ANSWER_MARGIN = 5_000;
-const LONGEST_ANSWER = 60_000;
+/** Added to the time of a request, in which its response may still arrive. */
+const RESPONSE_MARGIN_MS = 5_000;
+/** Time of a request without a deadline. */
+const DEFAULT_RESPONSE_TIMEOUT_MS = 60_000;
 
-/** The client that the options name. */
-export function clientOf({proxy, deadline}: RequestOptions) {
+/** Creates a client for the callers' port that the options name. */
+export function createCallerClient({proxy, deadline}: RequestOptions) {
   return createHttpClient({
     address: proxy,
-    timeout: (deadline ?? LONGEST_ANSWER) + ANSWER_MARGIN,
+    timeout: (deadline ?? DEFAULT_RESPONSE_TIMEOUT_MS) + RESPONSE_MARGIN_MS,
   });
 }
 
-/** Adds the key to an answer, so that the command can be repeated with it. */
+/** Adds the key to a response, so that the user can repeat the command. */
 function withKey<T extends object>(
   reply: Result<T, Failure>,
   key: IdempotencyKey | undefined,
@@ -41,20 +42,23 @@
 function addRead(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'read <text>',
-    'Read',
+    'Run a read statement',
     builder =>
       withStatementOptions(builder).option('maximum-age', {
         type: 'number',
-        describe: 'Oldest data accepted, milliseconds',
+        describe: 'Maximum staleness of the data, in milliseconds',
       }),
     async options => {
       const {maximumAge, transaction} = options;
-      const reply = await clientOf(options).request(CALLER_METHODS.read, {
-        ...requestFieldsOf(options, context.environment, Date.now()),
-        ...transactionFieldOf(transaction),
-        ...(maximumAge === undefined ? {} : {maximumAge}),
-        statement: statementOf(options),
-      });
+      const reply = await createCallerClient(options).request(
+        CALLER_METHODS.read,
+        {
+          ...buildRequestFields(options, context.environment, Date.now()),
+          ...buildTransactionField(transaction),
+          ...(maximumAge === undefined ? {} : {maximumAge}),
+          statement: buildStatement(options),
+        },
+      );
       reportResult(context, reply);
     },
   );
@@ -63,18 +67,21 @@
 function addWrite(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'write <text>',
-    'Write',
+    'Run a write statement',
     builder => withStatementOptions(builder).option('key', KEY_OPTION),
     async options => {
       const now = Date.now();
       const key =
         options.key === undefined ? undefined : parseKey(options.key, now);
-      const reply = await clientOf(options).request(CALLER_METHODS.write, {
-        ...requestFieldsOf(options, context.environment, now),
-        ...transactionFieldOf(options.transaction),
-        ...(key === undefined ? {} : {key}),
-        statement: statementOf(options),
-      });
+      const reply = await createCallerClient(options).request(
+        CALLER_METHODS.write,
+        {
+          ...buildRequestFields(options, context.environment, now),
+          ...buildTransactionField(options.transaction),
+          ...(key === undefined ? {} : {key}),
+          statement: buildStatement(options),
+        },
+      );
       reportResult(context, withKey(reply, key));
     },
   );
@@ -86,8 +93,12 @@
     'Begin a transaction',
     withRequestOptions,
     async options => {
-      const fields = requestFieldsOf(options, context.environment, Date.now());
-      const client = clientOf(options);
+      const fields = buildRequestFields(
+        options,
+        context.environment,
+        Date.now(),
+      );
+      const client = createCallerClient(options);
       reportResult(context, await client.request(CALLER_METHODS.begin, fields));
     },
   );
@@ -105,11 +116,14 @@
       const now = Date.now();
       const key =
         options.key === undefined ? undefined : parseKey(options.key, now);
-      const reply = await clientOf(options).request(CALLER_METHODS.commit, {
-        ...requestFieldsOf(options, context.environment, now),
-        transaction: options.transaction,
-        ...(key === undefined ? {} : {key}),
-      });
+      const reply = await createCallerClient(options).request(
+        CALLER_METHODS.commit,
+        {
+          ...buildRequestFields(options, context.environment, now),
+          transaction: options.transaction,
+          ...(key === undefined ? {} : {key}),
+        },
+      );
       reportResult(context, withKey(reply, key));
     },
   );
@@ -125,10 +139,13 @@
         demandOption: true,
       }),
     async options => {
-      const reply = await clientOf(options).request(CALLER_METHODS.rollback, {
-        ...requestFieldsOf(options, context.environment, Date.now()),
-        transaction: options.transaction,
-      });
+      const reply = await createCallerClient(options).request(
+        CALLER_METHODS.rollback,
+        {
+          ...buildRequestFields(options, context.environment, Date.now()),
+          transaction: options.transaction,
+        },
+      );
       reportResult(context, reply);
     },
   );
@@ -137,7 +154,7 @@
 function addOutcome(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'outcome <key>',
-    'Settle what became of a keyed write or commit',
+    'Settle the outcome of a write or commit that had a key',
     builder =>
       withRequestOptions(builder).positional('key', {
         type: 'string',
@@ -146,16 +163,19 @@
       }),
     async options => {
       const now = Date.now();
-      const reply = await clientOf(options).request(CALLER_METHODS.outcome, {
-        ...requestFieldsOf(options, context.environment, now),
-        key: parseKey(options.key, now),
-      });
+      const reply = await createCallerClient(options).request(
+        CALLER_METHODS.outcome,
+        {
+          ...buildRequestFields(options, context.environment, now),
+          key: parseKey(options.key, now),
+        },
+      );
       reportResult(context, reply);
     },
   );
 }
 
-/** Adds the commands. */
+/** Adds `call` and its subcommands. */
 export function addCallCommands(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'call',
@@ -166,7 +186,7 @@
       addBegin(builder, context);
       addCommit(builder, context);
       addRollback(builder, context);
-      addTransactionCommand(builder, context, clientOf);
+      addTransactionCommand(builder, context, createCallerClient);
       addOutcome(builder, context);
       return builder.demandCommand(1, 'Name a request; --help lists them.');
     },
--- a/packages/cli/src/commands/call_options.ts
+++ b/packages/cli/src/commands/call_options.ts
@@ -1,10 +1,10 @@
-/** Options of the commands that send a caller's request. */
+/** Options of the `call` subcommands. */
 import {Scalar, Statement} from '@kelpstep/protocol';
 import type {Argv} from 'yargs';
 
 import type {CommandContext} from '../command';
 
-/** Options that all callers' requests have. */
+/** Options that all callers' requests have; `deadline` in milliseconds. */
 export interface RequestOptions {
   readonly proxy: string;
   readonly group: string;
@@ -21,16 +21,16 @@
   readonly transaction: string | undefined;
 }
 
-/** So that a key needn't stand among a command's parameters. */
+/** Environment variable that keeps the account key off the command line. */
 const ACCOUNT_KEY_VARIABLE = 'KELPSTEP_ACCOUNT_KEY';
-const DEFAULT_PROXY = '127.0.0.1:7101';
+const DEFAULT_PROXY_ADDRESS = '127.0.0.1:7101';
 
 /** Adds the options of all requests. */
 export function withRequestOptions<T>(yargs: Argv<T>) {
   return yargs
     .option('proxy', {
       type: 'string',
-      default: DEFAULT_PROXY,
+      default: DEFAULT_PROXY_ADDRESS,
       describe: "Address of a proxy's callers' port",
     })
     .option('group', {
@@ -38,18 +38,21 @@
       demandOption: true,
       describe: 'Group of databases',
     })
-    .option('kind', {type: 'string', describe: 'Request kind of the manifest'})
+    .option('kind', {
+      type: 'string',
+      describe: 'Request kind, as defined in the manifest',
+    })
     .option('token', {
       type: 'string',
-      describe: 'Token of the last answer; "" begins a session',
+      describe: 'Session token of the last response; "" begins a session',
     })
     .option('deadline', {
       type: 'number',
-      describe: 'Time for the answer, milliseconds from now',
+      describe: 'Deadline of the request, in milliseconds from now',
     })
     .option('account-key', {
       type: 'string',
-      describe: `Key of an account; by default that of ${ACCOUNT_KEY_VARIABLE}`,
+      describe: `Key of a client account; by default the value of ${ACCOUNT_KEY_VARIABLE}`,
       defaultDescription: 'none',
     });
 }
@@ -60,22 +63,22 @@
     .positional('text', {
       type: 'string',
       demandOption: true,
-      describe: 'Statement, as the database reads it',
+      describe: 'Statement in the syntax of the database',
     })
     .option('parameter', {
       alias: 'p',
       type: 'string',
       array: true,
       nargs: 1,
-      describe: 'Parameter of the statement, as JSON or as text; repeatable',
+      describe: 'Statement parameter, a JSON scalar or plain text; repeatable',
     })
     .option('transaction', {
       type: 'string',
-      describe: 'Transaction to run in, as `begin` gave it',
+      describe: 'Id of the transaction to run in, as returned by `begin`',
     });
 }
 
-/** Reads a parameter: JSON if it is a scalar's, else the text itself. */
+/** Parses a parameter as a JSON scalar; other text stands for itself. */
 export function parseScalar(text: string): Scalar {
   try {
     const value: unknown = JSON.parse(text);
@@ -87,14 +90,17 @@
   }
 }
 
-/** The statement that the options give. */
-export function statementOf(options: StatementOptions): Statement {
+/** Builds the statement of a request. */
+export function buildStatement(options: StatementOptions): Statement {
   const {text, parameter = []} = options;
-  return {text, parameters: parameter.map(each => parseScalar(String(each)))};
+  return {text, parameters: parameter.map(value => parseScalar(String(value)))};
 }
 
-/** The fields that all requests have. */
-export function requestFieldsOf(
+/**
+ * Builds the fields that all requests have. The deadline becomes absolute:
+ * `wallClock`, in milliseconds since the Unix epoch, plus the option.
+ */
+export function buildRequestFields(
   options: RequestOptions,
   environment: CommandContext['environment'],
   wallClock: number,
@@ -110,7 +116,7 @@
   };
 }
 
-/** The field that names a transaction. */
-export function transactionFieldOf(transaction: string | undefined) {
+/** Builds the field with the transaction id, if there is one. */
+export function buildTransactionField(transaction: string | undefined) {
   return transaction === undefined ? {} : {transaction};
 }
--- a/packages/cli/src/commands/call_transaction.ts
+++ b/packages/cli/src/commands/call_transaction.ts
@@ -12,41 +12,42 @@
 import type {HttpClient} from '../http_client';
 import {
   RequestOptions,
-  requestFieldsOf,
+  buildRequestFields,
   withRequestOptions,
 } from './call_options';
 import {KEY_OPTION, formatKey, parseKey} from './key_option';
 
-interface Step {
+interface TransactionStep {
   readonly mode: 'read' | 'write';
   readonly statement: Statement;
 }
 
-type RequestFields = ReturnType<typeof requestFieldsOf>;
+type RequestFields = ReturnType<typeof buildRequestFields>;
 
-/** `read: TEXT`, then perhaps the parameters as a JSON list. */
+/** `read: TEXT` or `write: TEXT`, optionally followed by a JSON array. */
 const STEP_PATTERN = /^(read|write):\s*(.*?)\s*(\[.*\])?$/s;
-const STEP_FORM = 'A statement has to look like: write: TEXT ["PARAMETER", 1]';
+const STEP_FORMAT_MESSAGE =
+  'Statement must have the form: write: TEXT ["PARAMETER", 1]';
 
-function parseStep(text: string): Step {
+function parseStep(text: string): TransactionStep {
   const match = STEP_PATTERN.exec(text);
   const statement = statementSchema.safeParse({
     text: match?.[2],
     parameters: JSON.parse(match?.[3] ?? '[]'),
   });
   if (match === null || !statement.success) {
-    throw new Error(STEP_FORM);
+    throw new Error(STEP_FORMAT_MESSAGE);
   }
   const mode = match[1] === 'read' ? 'read' : 'write';
   return {mode, statement: statement.data};
 }
 
-/** Runs the steps; the first failure ends them. */
+/** Runs the steps in order and stops at the first failure; returns all rows. */
 async function runSteps(
   client: HttpClient,
   fields: RequestFields,
   transaction: string,
-  steps: readonly Step[],
+  steps: readonly TransactionStep[],
 ): Promise<Result<unknown[], Failure>> {
   const rows: unknown[] = [];
   for (const {mode, statement} of steps) {
@@ -63,11 +64,11 @@
   return Ok(rows);
 }
 
-/** Begins, runs the steps and commits, or rolls back. */
+/** Runs the steps in a transaction; rolls back if one of them fails. */
 async function runTransaction(
   client: HttpClient,
   fields: RequestFields,
-  steps: readonly Step[],
+  steps: readonly TransactionStep[],
   key: ReturnType<typeof parseKey>,
 ): Promise<Result<object, Failure>> {
   const begun = await client.request(CALLER_METHODS.begin, fields);
@@ -78,7 +79,7 @@
   const rows = await runSteps(client, fields, transaction, steps);
   if (rows.err) {
     await client.request(CALLER_METHODS.rollback, {...fields, transaction});
-    // Nothing of a transaction that was not committed stays.
+    // Without a commit, no step of the transaction takes effect.
     return Err({...rows.val, outcome: 'not_run'});
   }
   const request = {...fields, transaction, key};
@@ -90,11 +91,11 @@
   }));
 }
 
-/** Adds the command. */
+/** Adds `call transaction`. */
 export function addTransactionCommand(
   yargs: Argv,
   context: CommandContext,
-  clientOf: (options: RequestOptions) => HttpClient,
+  createClient: (options: RequestOptions) => HttpClient,
 ): Argv {
   return yargs.command(
     'transaction <statements..>',
@@ -110,8 +111,8 @@
     async options => {
       const now = Date.now();
       const reply = await runTransaction(
-        clientOf(options),
-        requestFieldsOf(options, context.environment, now),
+        createClient(options),
+        buildRequestFields(options, context.environment, now),
         options.statements.map(parseStep),
         parseKey(options.key, now),
       );
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -1,4 +1,4 @@
-/** `kelpstep demo`: all in one process, on loopback. */
+/** `kelpstep demo`: two proxies and stand-ins in one process, on loopback. */
 import {enableLogs} from '@kelpstep/observability';
 import type {Argv} from 'yargs';
 
@@ -7,31 +7,33 @@
 import {tellStory} from '../demo/demo_story';
 import {waitForStopSignal} from '../stop_signal';
 
-/** Adds the command. */
+/** Adds `demo`. */
 export function addDemoCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'demo',
-    'Run two proxies with stand-ins of databases and platform, and a story',
+    'Run two proxies with stand-ins of databases and platform, and a walkthrough',
     builder =>
       builder.option('once', {
         type: 'boolean',
         default: false,
-        describe: 'End after the story',
+        describe: 'Exit after the walkthrough',
       }),
     async ({once}) => {
       const {output} = context;
       enableLogs('warn', context.environment['DEBUG']);
-      const signalled = waitForStopSignal();
+      const stopRequested = waitForStopSignal();
       const cluster = await startDemoCluster();
       const token = await tellStory(cluster, output);
       if (!once) {
         const {address} = cluster.proxies[1];
-        output.line('The proxies go on serving; try, then end with Ctrl-C:');
+        output.line(
+          'The proxies keep running; try this command, and stop with Ctrl-C:',
+        );
         output.line(
           `  kelpstep call read "list ?" -p acknowledged --proxy ${address} ` +
             `--group ${DEMO_GROUP} --token "${token}"`,
         );
-        await signalled;
+        await stopRequested;
       }
       await cluster.stop();
     },
--- a/packages/cli/src/commands/key_option.ts
+++ b/packages/cli/src/commands/key_option.ts
@@ -3,15 +3,15 @@
 
 const KEY_PATTERN = /^(.+)@(\d+)$/;
 
-/** Describes the option. */
+/** Type and help text of the option. */
 export const KEY_OPTION = {
   type: 'string',
   describe:
-    'Idempotency key ID@ISSUED_AT (milliseconds since 1970); a lone ID is ' +
-    'issued now',
+    'Idempotency key ID@ISSUED_AT (milliseconds since 1970); a plain ID is ' +
+    'issued at the current time',
 } as const;
 
-/** Reads a key; throws if it can't be one. */
+/** Parses a key; `wallClock` is the issue time of a plain ID. */
 export function parseKey(text: string, wallClock: number): IdempotencyKey {
   const match = KEY_PATTERN.exec(text);
   const key = idempotencyKeySchema.safeParse(
@@ -20,12 +20,12 @@
       : {id: match[1], issuedAt: Number(match[2])},
   );
   if (!key.success) {
-    throw new Error('--key has to look like ID or ID@ISSUED_AT.');
+    throw new Error('Idempotency key must have the form ID or ID@ISSUED_AT.');
   }
   return key.data;
 }
 
-/** Writes a key as the option takes it. */
+/** Formats a key in the form that `parseKey` accepts. */
 export function formatKey(key: IdempotencyKey): string {
   return `${key.id}@${key.issuedAt}`;
 }
--- a/packages/cli/src/commands/manifest.ts
+++ b/packages/cli/src/commands/manifest.ts
@@ -34,8 +34,8 @@
   }
 }
 
-/** Findings of a manifest as the successor of another one. */
-function successionFindings(
+/** Returns the findings of replacing the manifest in a file by `next`. */
+function checkAsUpdate(
   context: CommandContext,
   previousFile: string,
   next: Manifest,
@@ -54,13 +54,14 @@
 function addCheck(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'check <file>',
-    'Report all findings of a manifest; needs no proxy',
+    'Report all findings of a manifest file, without a proxy',
     builder =>
       builder
         .positional('file', {type: 'string', demandOption: true})
         .option('previous', {
           type: 'string',
-          describe: 'Manifest that it has to be able to follow',
+          describe:
+            'File of the manifest that this one must be able to replace',
         }),
     ({file, previous}) => {
       const text = readFileOrReport(context, file);
@@ -68,12 +69,12 @@
         return;
       }
       const {manifest, findings, locate} = inspectManifest(text, file);
-      const followed =
+      const updateFindings =
         manifest === undefined || previous === undefined
           ? []
-          : successionFindings(context, previous, manifest, locate);
-      reportFindings(context, [...findings, ...followed]);
-      if (manifest !== undefined && followed.length === 0) {
+          : checkAsUpdate(context, previous, manifest, locate);
+      reportFindings(context, [...findings, ...updateFindings]);
+      if (manifest !== undefined && updateFindings.length === 0) {
         context.output.result({
           service: manifest.service,
           groups: manifest.groups.length,
@@ -83,21 +84,24 @@
   );
 }
 
-/** The version that a commit replaces: as given, or the one in force. */
-async function versionToReplace(
+/**
+ * Returns the version that a commit replaces: the requested one or the one in
+ * force. Returns undefined, after a report, if the proxy does not return it.
+ */
+async function resolveExpectedVersion(
   context: CommandContext,
   client: HttpClient,
-  given: number | undefined,
+  requestedVersion: number | undefined,
 ): Promise<number | undefined> {
-  if (given !== undefined) {
-    return given;
+  if (requestedVersion !== undefined) {
+    return requestedVersion;
   }
-  const shown = await client.request(manifestShow, {});
-  if (shown.err) {
-    reportFailure(context, shown.val);
+  const current = await client.request(manifestShow, {});
+  if (current.err) {
+    reportFailure(context, current.val);
     return undefined;
   }
-  return shown.val.version;
+  return current.val.version;
 }
 
 function addCommit(yargs: Argv, context: CommandContext): Argv {
@@ -109,15 +113,17 @@
         .positional('file', {type: 'string', demandOption: true})
         .option('expected-version', {
           type: 'number',
-          describe: 'Version that it replaces [default: the one in force]',
+          describe:
+            'Version that the commit replaces [default: the one in force]',
         })
         .option('commit-id', {
           type: 'string',
-          describe: 'Repeat a commit of unknown outcome with its id',
+          describe: 'Id of a commit with unknown outcome, to repeat it',
         })
         .option('by', {
           type: 'string',
-          describe: 'Who commits, for the audit trail [default: the user]',
+          describe:
+            'Name recorded in the audit trail [default: the current user]',
         }),
     async options => {
       const body = readFileOrReport(context, options.file);
@@ -125,7 +131,7 @@
       if (body === undefined || client === undefined) {
         return;
       }
-      const expectedVersion = await versionToReplace(
+      const expectedVersion = await resolveExpectedVersion(
         context,
         client,
         options.expectedVersion,
@@ -160,7 +166,7 @@
       withOperatorOptions(builder).option('body', {
         type: 'boolean',
         default: false,
-        describe: 'Write the YAML text alone',
+        describe: 'Write only the YAML text',
       }),
     async options => {
       const client = createOperatorClient(context, options);
@@ -177,16 +183,20 @@
   );
 }
 
-/** Adds the commands. */
+/** Adds `manifest` and its subcommands. */
 export function addManifestCommands(
   yargs: Argv,
   context: CommandContext,
 ): Argv {
-  return yargs.command('manifest', 'Check, commit, show and watch', builder => {
-    addCheck(builder, context);
-    addCommit(builder, context);
-    addShow(builder, context);
-    addWatchCommand(builder, context);
-    return builder.demandCommand(1, 'Name a command; --help lists them.');
-  });
+  return yargs.command(
+    'manifest',
+    'Check, commit, show and watch manifests',
+    builder => {
+      addCheck(builder, context);
+      addCommit(builder, context);
+      addShow(builder, context);
+      addWatchCommand(builder, context);
+      return builder.demandCommand(1, 'Name a command; --help lists them.');
+    },
+  );
 }
--- a/packages/cli/src/commands/manifest_watch.ts
+++ b/packages/cli/src/commands/manifest_watch.ts
@@ -1,4 +1,4 @@
-/** `kelpstep manifest watch`: which proxy runs which version. */
+/** `kelpstep manifest watch`: shows the manifest version of each proxy. */
 import {proxyStatus} from '@kelpstep/proxy';
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Argv} from 'yargs';
@@ -8,19 +8,19 @@
 import type {HttpClient} from '../http_client';
 import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
-/** A proxy and the version that it runs; undefined if it doesn't answer. */
-interface Observation {
+/** Name and manifest version of a proxy, undefined if it does not answer. */
+interface ProxyVersion {
   readonly address: string;
   readonly proxy: string | undefined;
   readonly version: number | undefined;
 }
 
-const POLL_INTERVAL = 200;
+const POLL_INTERVAL_MS = 200;
 
-async function observe(
+async function fetchProxyVersion(
   address: string,
   client: HttpClient,
-): Promise<Observation> {
+): Promise<ProxyVersion> {
   const reply = await client.request(proxyStatus, {});
   return reply.ok
     ? {
@@ -31,58 +31,61 @@
     : {address, proxy: undefined, version: undefined};
 }
 
-/** Writes a line of JSON for each proxy whose version changed. */
+/** Creates a function that prints a proxy's version as JSON if it changed. */
 function createChangePrinter(context: CommandContext) {
-  const shown = new Map<string, string>();
-  return (observation: Observation) => {
-    const {address, proxy = null, version = null} = observation;
+  const printedLines = new Map<string, string>();
+  return (proxyVersion: ProxyVersion) => {
+    const {address, proxy = null, version = null} = proxyVersion;
     const line = JSON.stringify({address, proxy, version});
-    if (shown.get(address) !== line) {
-      shown.set(address, line);
+    if (printedLines.get(address) !== line) {
+      printedLines.set(address, line);
       context.output.line(line);
     }
   };
 }
 
-/** Adds the command. */
+/** Adds `manifest watch`. */
 export function addWatchCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'watch [addresses..]',
-    'Show which proxy runs which version, as it changes',
+    'Show the manifest version of each proxy, and its changes',
     builder =>
       withOperatorOptions(builder)
         .positional('addresses', {
           type: 'string',
           array: true,
-          describe: "Operators' ports; by default that of the settings",
+          describe:
+            "Addresses of operators' ports; by default that of the settings",
         })
         .option('until-version', {
           type: 'number',
-          describe: 'End with 0 once all run this version or a later one',
+          describe:
+            'Exit with 0 once all proxies run this version or a later one',
         })
         .option('limit', {
           type: 'number',
-          describe: 'End with 1 after so many milliseconds',
+          describe: 'Exit with 1 after this many milliseconds',
         }),
     async options => {
       const {addresses = [], untilVersion, limit = Infinity} = options;
-      const named = addresses.length === 0 ? [options.operator] : addresses;
-      const print = createChangePrinter(context);
+      const operatorAddresses =
+        addresses.length === 0 ? [options.operator] : addresses;
+      const printChange = createChangePrinter(context);
       const end = Date.now() + limit;
-      const clients = named.map(operator => ({
+      const clients = operatorAddresses.map(operator => ({
         address: operator ?? '',
         client: createOperatorClient(context, {...options, operator}),
       }));
       for (;;) {
-        const observations: Observation[] = [];
+        const proxyVersions: ProxyVersion[] = [];
         for (const {address, client} of clients) {
           if (client === undefined) {
             return;
           }
-          observations.push(await observe(address, client));
+          proxyVersions.push(await fetchProxyVersion(address, client));
         }
-        observations.forEach(print);
-        const isReached = observations.every(
+        proxyVersions.forEach(printChange);
+        const isReached = proxyVersions.every(
           ({version = -1}) => version >= (untilVersion ?? Infinity),
         );
         if (isReached) {
@@ -92,7 +95,7 @@
           context.exit(EXIT_CODES.failure);
           return;
         }
-        await sleep(POLL_INTERVAL);
+        await sleep(POLL_INTERVAL_MS);
       }
     },
   );
--- a/packages/cli/src/commands/proxy.ts
+++ b/packages/cli/src/commands/proxy.ts
@@ -1,4 +1,4 @@
-/** `kelpstep proxy`: runs a proxy until it is told to stop. */
+/** `kelpstep proxy`: runs a proxy until SIGTERM or SIGINT. */
 import {enableLogs} from '@kelpstep/observability';
 import {startDaemon} from '@kelpstep/proxy';
 import type {Argv} from 'yargs';
@@ -8,16 +8,16 @@
 import {readSettingsOrReport} from '../operator_client';
 import {waitForStopSignal} from '../stop_signal';
 
-/** Adds the command. */
+/** Adds `proxy`. */
 export function addProxyCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'proxy',
-    'Run a proxy; SIGTERM stops it gracefully, a second one at once',
+    'Run a proxy; SIGTERM stops it gracefully, a second one immediately',
     builder =>
       builder.option('settings', {
         type: 'string',
         demandOption: true,
-        describe: 'Settings, a YAML file',
+        describe: 'Settings file, YAML',
       }),
     async options => {
       const settings = readSettingsOrReport(context, options.settings);
@@ -25,14 +25,14 @@
         return;
       }
       enableLogs(settings.logLevel, context.environment['DEBUG']);
-      const signalled = waitForStopSignal();
+      const stopRequested = waitForStopSignal();
       const daemon = await startDaemon(settings);
       if (daemon.err) {
         context.output.error(daemon.val);
         context.exit(EXIT_CODES.failure);
         return;
       }
-      await signalled;
+      await stopRequested;
       await daemon.val.stop();
     },
   );
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,15 +1,15 @@
-/** `kelpstep status`: what a proxy tells of itself. */
+/** `kelpstep status`: shows the status of a proxy. */
 import {proxyStatus} from '@kelpstep/proxy';
 import type {Argv} from 'yargs';
 
 import {CommandContext, reportResult} from '../command';
 import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
-/** Adds the command. */
+/** Adds `status`. */
 export function addStatusCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'status',
-    'Show groups, members and readiness of a proxy',
+    'Show the groups, members and readiness of a proxy',
     withOperatorOptions,
     async options => {
       const client = createOperatorClient(context, options);
