--- a/packages/cli/__tests__/command_line.spec.ts
+++ b/packages/cli/__tests__/command_line.spec.ts
@@ -12,7 +12,7 @@
   return runCommand(parameters);
 }
 
-/** An address where nobody listens any more. */
+/** Returns an address on which nothing listens any more. */
 async function unusedAddress(): Promise<string> {
   const listening = await promiseFromFuture(
     createTcpTransport().listen('127.0.0.1:0', () => {}),
@@ -23,7 +23,7 @@
 }
 
 describe('the command line', () => {
-  test('has help and a version at every command', async () => {
+  test('offers help and a version on every command', async () => {
     const paths = [
       [],
       ['call'],
@@ -43,8 +43,8 @@
     }
   });
 
-  test('answers wrong usage with 2, on the error stream', async () => {
-    const wrong = [
+  test('rejects wrong usage with exit code 2 and an error message', async () => {
+    const invalidCommands = [
       [],
       ['nonsense'],
       ['call', 'nonsense'],
@@ -53,7 +53,7 @@
       ['audit', '--since', 'yesterday'],
       ['call', 'transaction', 'nonsense', '--group', 'a', '--key', 'k'],
     ];
-    for (const parameters of wrong) {
+    for (const parameters of invalidCommands) {
       const {code, results, errors} = await run(...parameters);
       expect([parameters, code]).toEqual([parameters, EXIT_CODES.usage]);
       expect(results).toEqual([]);
@@ -61,28 +61,28 @@
     }
   });
 
-  test('checks a manifest by itself and as a successor', async () => {
-    const sound = await run('manifest', 'check', MANIFEST);
-    const successor = await run(
+  test('checks a manifest on its own and as an update of another one', async () => {
+    const valid = await run('manifest', 'check', MANIFEST);
+    const update = await run(
       ...['manifest', 'check', MANIFEST],
       ...['--previous', 'examples/utility/manifest.yaml'],
     );
-    expect(sound.code).toEqual(EXIT_CODES.ok);
-    expect(JSON.parse(sound.results[0] ?? '')).toEqual({
+    expect(valid.code).toEqual(EXIT_CODES.ok);
+    expect(JSON.parse(valid.results[0] ?? '')).toEqual({
       service: 'handbook',
       groups: 3,
     });
-    expect(successor.code).toEqual(EXIT_CODES.findings);
-    expect(successor.errors.join()).toMatchRegex(/service: expected/);
+    expect(update.code).toEqual(EXIT_CODES.findings);
+    expect(update.errors.join()).toMatchRegex(/service: expected/);
   });
 
-  test('reports findings of a file with their place', async () => {
+  test('reports findings of a file with line and column', async () => {
     const {code, errors} = await run('manifest', 'check', 'package.json');
     expect(code).toEqual(EXIT_CODES.findings);
     expect(errors[0] ?? '').toMatchRegex(/^package\.json:\d+:\d+: /);
   });
 
-  test('tells a file that is not there and a proxy that is not', async () => {
+  test('reports a missing file and an unreachable proxy', async () => {
     const file = await run('manifest', 'check', 'nothing.yaml');
     const read = ['call', 'read', 'get ?', '-p', 'a', '--group', 'g'];
     const proxy = await run(...read, '--proxy', await unusedAddress());
--- a/packages/cli/__tests__/commands.spec.ts
+++ b/packages/cli/__tests__/commands.spec.ts
@@ -10,25 +10,25 @@
   DemoCluster,
   startDemoCluster,
 } from '../src/demo/demo_cluster';
-import {tellStory} from '../src/demo/demo_story';
+import {runWalkthrough} from '../src/demo/demo_walkthrough';
 import {runCommand} from './run_command';
 
 const directory = mkdtempSync(join(tmpdir(), 'kelpstep-'));
 const manifestFile = join(directory, 'manifest.yaml');
 
-describe('commands, against proxies that run', () => {
+describe('commands against running proxies', () => {
   let cluster: DemoCluster;
-  let story: string[] = [];
+  let walkthroughLines: string[] = [];
 
   before(async () => {
     cluster = await startDemoCluster();
     const lines: string[] = [];
-    await tellStory(cluster, {
+    await runWalkthrough(cluster, {
       result: () => {},
       line: text => lines.push(text),
       error: () => {},
     });
-    story = lines;
+    walkthroughLines = lines;
   });
 
   after(async () => {
@@ -36,7 +36,7 @@
     rmSync(directory, {recursive: true});
   });
 
-  function operate(...parameters: string[]) {
+  function runOperatorCommand(...parameters: string[]) {
     const {operatorAddress, operatorToken} = cluster.proxies[0];
     return runCommand([...parameters, '--operator', operatorAddress], {
       KELPSTEP_OPERATOR_TOKEN: operatorToken,
@@ -44,9 +44,9 @@
   }
 
   function watchUntil(version: number, ...parameters: string[]) {
-    const addresses = cluster.proxies.map(each => each.operatorAddress);
+    const addresses = cluster.proxies.map(proxy => proxy.operatorAddress);
     const watch = ['manifest', 'watch', ...addresses, ...parameters];
-    return operate(...watch, '--until-version', String(version));
+    return runOperatorCommand(...watch, '--until-version', String(version));
   }
 
   async function call(...parameters: string[]) {
@@ -58,13 +58,17 @@
     return {...run, result: JSON.parse(run.results[0] ?? 'null')};
   }
 
-  test('the demo tells of a replica and of one acknowledgement', () => {
-    expect(story.join('\n')).toMatchRegex(/from replica handbook-\d/);
-    expect(story.join('\n')).toMatchRegex(/duplicate false, then true/);
-    expect(story.at(-1)).toEqual('It was recorded 1 time(s).');
+  test('the demo reads from a replica and records one acknowledgement', () => {
+    expect(walkthroughLines.join('\n')).toMatchRegex(
+      /from replica handbook-\d/,
+    );
+    expect(walkthroughLines.join('\n')).toMatchRegex(
+      /duplicate false, then true/,
+    );
+    expect(walkthroughLines.at(-1)).toEqual('It was recorded 1 time(s).');
   });
 
-  test('call writes, reads and settles a key', async () => {
+  test('call writes with a key, reads, and settles the key', async () => {
     const write = ['write', 'append ? ?', '-p', 'log', '-p', '7'];
     const written = await call(...write, '--key', 'entry');
     const {key, token} = written.result;
@@ -76,8 +80,8 @@
     expect(settled.result.outcome).toEqual('confirmed');
   });
 
-  test('call runs a transaction, whole or step by step', async () => {
-    const whole = await call(
+  test('call runs a transaction in one command or in several', async () => {
+    const inOneCommand = await call(
       ...['transaction', 'write: set ? ? ["a", 1]', 'read: get ? ["a"]'],
       ...['--key', 'both'],
     );
@@ -87,12 +91,12 @@
     await call('write', 'set ? ?', '-p', 'a', '-p', '2', ...inside);
     const rolledBack = await call('rollback', transaction);
     const read = await call('read', 'get ?', '-p', 'a');
-    expect(whole.result.rows).toEqual([[], [[1]]]);
+    expect(inOneCommand.result.rows).toEqual([[], [[1]]]);
     expect(rolledBack.code).toEqual(EXIT_CODES.ok);
     expect(read.result.rows).toEqual([[1]]);
   });
 
-  test('call tells a refusal on the error stream, with code 1', async () => {
+  test('call reports a rejected request on standard error, with exit code 1', async () => {
     const {code, results, errors} = await call('read', 'nonsense');
     expect(code).toEqual(EXIT_CODES.failure);
     expect(results).toEqual([]);
@@ -100,40 +104,48 @@
   });
 
   test('manifest commits, shows and watches versions', async () => {
-    const shown = await operate('manifest', 'show', '--body');
+    const shown = await runOperatorCommand('manifest', 'show', '--body');
     writeFileSync(manifestFile, shown.results[0] ?? '');
-    const committed = await operate('manifest', 'commit', manifestFile);
-    const late = await operate(
+    const committed = await runOperatorCommand(
+      'manifest',
+      'commit',
+      manifestFile,
+    );
+    const stale = await runOperatorCommand(
       ...['manifest', 'commit', manifestFile, '--expected-version', '1'],
     );
     const watched = await watchUntil(2);
-    const unreached = await watchUntil(9, '--limit', '1');
+    const timedOut = await watchUntil(9, '--limit', '1');
     expect(JSON.parse(committed.results[0] ?? '').version).toEqual(2);
-    expect(late.code).toEqual(EXIT_CODES.conflict);
-    expect(unreached.code).toEqual(EXIT_CODES.failure);
+    expect(stale.code).toEqual(EXIT_CODES.conflict);
+    expect(timedOut.code).toEqual(EXIT_CODES.failure);
     expect(watched.code).toEqual(EXIT_CODES.ok);
     const versions = watched.results.map(line => JSON.parse(line).version);
     expect(versions.filter(version => version === 2).length).toEqual(2);
   });
 
-  test('manifest refuses a bad manifest with its findings', async () => {
+  test('manifest commit rejects an invalid manifest with its findings', async () => {
     writeFileSync(manifestFile, 'format: 1\n');
-    const {code, errors} = await operate('manifest', 'commit', manifestFile);
+    const {code, errors} = await runOperatorCommand(
+      'manifest',
+      'commit',
+      manifestFile,
+    );
     expect(code).toEqual(EXIT_CODES.findings);
     expect(errors.join()).toMatchRegex(/manifest\.yaml:\d+:\d+: /);
   });
 
-  test('status and audit tell what was done', async () => {
-    const status = await operate('status');
+  test('status shows the primary and audit lists all manifest commits', async () => {
+    const status = await runOperatorCommand('status');
     const described = JSON.parse(status.results[0] ?? '');
     expect(described.groups[0].leadership.primary).toMatchRegex(/handbook-\d/);
-    let audit = await operate('audit');
+    let audit = await runOperatorCommand('audit');
     const manifestEntries = () =>
       audit.results
         .map(line => JSON.parse(line))
         .filter(({what}) => what === 'manifest');
     while (audit.code === EXIT_CODES.ok && manifestEntries().length < 4) {
-      audit = await operate('audit');
+      audit = await runOperatorCommand('audit');
     }
     expect(audit.code).toEqual(EXIT_CODES.ok);
     expect(manifestEntries().map(({outcome}) => outcome)).toEqual([
@@ -144,7 +156,7 @@
     ]);
   });
 
-  test('operators without the token are refused', async () => {
+  test('an operator command without the token is rejected', async () => {
     const {operatorAddress} = cluster.proxies[0];
     const run = await runCommand(['status', '--operator', operatorAddress]);
     expect(run.code).toEqual(EXIT_CODES.failure);
--- a/packages/cli/__tests__/run_command.ts
+++ b/packages/cli/__tests__/run_command.ts
@@ -1,11 +1,12 @@
-/** Runs command lines and keeps what they write. */
+/** Runs command lines in tests and captures their output. */
 import {runCommandLine} from '..';
 
-/** What a command did. */
+/** Exit code and output of a command. */
 export interface CommandRun {
   readonly code: number;
-  /** Lines of standard output; a result is one line of JSON. */
+  /** Standard output, one element for each result (as JSON) or line. */
   readonly results: readonly string[];
+  /** Lines of standard error. */
   readonly errors: readonly string[];
 }
 
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -4,7 +4,7 @@
 
 import type {CommandContext} from '../command';
 import {DEMO_GROUP, startDemoCluster} from '../demo/demo_cluster';
-import {tellStory} from '../demo/demo_story';
+import {runWalkthrough} from '../demo/demo_walkthrough';
 import {waitForStopSignal} from '../stop_signal';
 
 /** Adds `demo`. */
@@ -23,7 +23,7 @@
       enableLogs('warn', context.environment['DEBUG']);
       const stopRequested = waitForStopSignal();
       const cluster = await startDemoCluster();
-      const token = await tellStory(cluster, output);
+      const token = await runWalkthrough(cluster, output);
       if (!once) {
         const {address} = cluster.proxies[1];
         output.line(
--- a/packages/cli/src/demo/demo_cluster.ts
+++ b/packages/cli/src/demo/demo_cluster.ts
@@ -1,4 +1,7 @@
-/** The demo's processes in one: stand-ins of databases and platform, proxies. */
+/**
+ * Runs the demo's two proxies and the stand-ins of databases and platform in
+ * this process.
+ */
 import {Settings, settingsSchema} from '@kelpstep/manifest';
 import {
   Daemon,
@@ -12,10 +15,10 @@
 
 import {HttpClient, createHttpClient} from '../http_client';
 
-/** The demo's group of databases. */
+/** Name of the demo's database group. */
 export const DEMO_GROUP = 'handbook';
 
-/** A proxy of the demo with clients of its two ports. */
+/** A proxy of the demo with clients for its callers' and operators' ports. */
 export interface DemoProxy {
   readonly name: string;
   /** Address of the callers' port. */
@@ -27,31 +30,33 @@
   readonly operators: HttpClient;
 }
 
-/** What runs. */
+/** The running proxies of the demo. */
 export interface DemoCluster {
   readonly proxies: readonly [DemoProxy, DemoProxy];
+  /** Stops the proxies, then the stand-ins. */
   stop(): Promise<void>;
 }
 
 const MEMBERS = ['handbook-1', 'handbook-2', 'handbook-3'];
 const DATA_CENTRES = ['fukuoka', 'kumamoto', 'kagoshima'];
+/** Addresses of the callers', peers' and operators' ports. */
 const ADDRESSES_PER_PROXY = 3;
-const SLOTS = 3;
-const CONNECTION_LIMIT = 20;
-const REPLICATION_LAG = 20;
+const SLOTS_PER_MEMBER = 3;
+const CONNECTIONS_PER_MEMBER = 20;
+const REPLICATION_LAG_MS = 20;
 const TOKEN_BYTES = 16;
-const REQUEST_TIMEOUT = 10_000;
-const POLL_INTERVAL = 20;
+const REQUEST_TIMEOUT_MS = 10_000;
+const POLL_INTERVAL_MS = 20;
 
-function demoManifest(addresses: readonly string[]): string {
+function buildManifest(addresses: readonly string[]): string {
   const members = MEMBERS.map((id, index) => ({
     id,
     dataCentre: DATA_CENTRES[index],
     address: addresses[index],
-    slots: SLOTS,
-    connectionLimit: CONNECTION_LIMIT,
+    slots: SLOTS_PER_MEMBER,
+    connectionLimit: CONNECTIONS_PER_MEMBER,
   }));
-  // JSON is YAML too.
+  // Every JSON document is valid YAML.
   return JSON.stringify({
     format: 1,
     service: 'handbook',
@@ -65,7 +70,7 @@
   });
 }
 
-function demoSettings(
+function buildSettings(
   proxy: string,
   dataCentre: string,
   [callers, peers, operators]: readonly string[],
@@ -85,7 +90,11 @@
   });
 }
 
-function describeProxy({proxy, addresses, operatorToken}: Settings): DemoProxy {
+function createDemoProxy({
+  proxy,
+  addresses,
+  operatorToken,
+}: Settings): DemoProxy {
   return {
     name: proxy,
     address: addresses.callers,
@@ -93,17 +102,17 @@
     operatorToken,
     callers: createHttpClient({
       address: addresses.callers,
-      timeout: REQUEST_TIMEOUT,
+      timeout: REQUEST_TIMEOUT_MS,
     }),
     operators: createHttpClient({
       address: addresses.operators,
       token: operatorToken,
-      timeout: REQUEST_TIMEOUT,
+      timeout: REQUEST_TIMEOUT_MS,
     }),
   };
 }
 
-async function start(settings: Settings): Promise<Daemon> {
+async function startOrThrow(settings: Settings): Promise<Daemon> {
   const daemon = await startDaemon(settings);
   if (daemon.err) {
     throw new Error(daemon.val);
@@ -111,8 +120,8 @@
   return daemon.val;
 }
 
-/** Commits the manifest at one proxy and waits until all have it. */
-async function putInForce(
+/** Commits the manifest at the first proxy and waits until all run it. */
+async function commitManifest(
   body: string,
   proxies: readonly DemoProxy[],
 ): Promise<void> {
@@ -131,48 +140,54 @@
   for (const {operators} of proxies) {
     let version = 0;
     while (version === 0) {
-      await sleep(POLL_INTERVAL);
+      await sleep(POLL_INTERVAL_MS);
       const status = await operators.request(proxyStatus, {});
       version = status.ok ? status.val.manifest.version : 0;
     }
   }
 }
 
-/** Starts all and puts the manifest in force. */
+/** Starts stand-ins and proxies and commits the manifest. */
 export async function startDemoCluster(): Promise<DemoCluster> {
   const standIns = await startEmbeddedStandIns({
     members: MEMBERS.map(id => ({id})),
     settings: {
-      slots: SLOTS,
-      connectionLimit: CONNECTION_LIMIT,
-      lag: REPLICATION_LAG,
+      slots: SLOTS_PER_MEMBER,
+      connectionLimit: CONNECTIONS_PER_MEMBER,
+      lag: REPLICATION_LAG_MS,
     },
   });
   const addresses = await freeAddresses(2 * ADDRESSES_PER_PROXY);
-  const ofA = addresses.slice(0, ADDRESSES_PER_PROXY);
-  const ofB = addresses.slice(ADDRESSES_PER_PROXY);
+  const addressesA = addresses.slice(0, ADDRESSES_PER_PROXY);
+  const addressesB = addresses.slice(ADDRESSES_PER_PROXY);
   const platform = standIns.platform.address;
   const token = randomBytes(TOKEN_BYTES).toString('hex');
-  const settingsA = demoSettings(
+  const settingsA = buildSettings(
     'a',
     'fukuoka',
-    ofA,
-    ofB.slice(1, 2),
+    addressesA,
+    addressesB.slice(1, 2),
     platform,
     token,
   );
-  const settingsB = demoSettings(
+  const settingsB = buildSettings(
     'b',
     'kumamoto',
-    ofB,
-    ofA.slice(1, 2),
+    addressesB,
+    addressesA.slice(1, 2),
     platform,
     token,
   );
-  const daemons = [await start(settingsA), await start(settingsB)];
-  const proxies = [describeProxy(settingsA), describeProxy(settingsB)] as const;
+  const daemons = [
+    await startOrThrow(settingsA),
+    await startOrThrow(settingsB),
+  ];
+  const proxies = [
+    createDemoProxy(settingsA),
+    createDemoProxy(settingsB),
+  ] as const;
   const databases = standIns.databases.map(({address}) => address);
-  await putInForce(demoManifest(databases), proxies);
+  await commitManifest(buildManifest(databases), proxies);
 
   async function stop(): Promise<void> {
     await Promise.all(daemons.map(daemon => daemon.stop()));
--- a/packages/cli/src/demo/demo_story.ts
+++ b/packages/cli/src/demo/demo_walkthrough.ts
@@ -1,4 +1,4 @@
-/** The demo's story: a session that roams, and a write that is sent twice. */
+/** The demo's walkthrough: a session on two proxies, and a duplicate write. */
 import {CALLER_METHODS, Failure} from '@kelpstep/protocol';
 import {randomUUID} from 'node:crypto';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -7,17 +7,19 @@
 import type {ConsoleOutput} from '../console_output';
 import {DEMO_GROUP, DemoCluster, DemoProxy} from './demo_cluster';
 
-const RETRY_DELAY = 50;
-const ATTEMPTS = 200;
-const PAGE = 'leave-rules';
-const LIST = 'acknowledged';
-const MAXIMUM_AGE = 10_000;
+const RETRY_DELAY_MS = 50;
+const MAXIMUM_ATTEMPTS = 200;
+const PAGE_KEY = 'leave-rules';
+const LIST_KEY = 'acknowledged';
+const MAXIMUM_AGE_MS = 10_000;
 
-/** Repeats a request that may succeed later, as a caller would. */
-async function persist<T>(send: () => Promise<Result<T, Failure>>): Promise<T> {
+/** Repeats a failed request until it succeeds; throws after the last attempt. */
+async function requestWithRetries<T>(
+  send: () => Promise<Result<T, Failure>>,
+): Promise<T> {
   let reply = await send();
-  for (let attempt = 1; reply.err && attempt < ATTEMPTS; attempt++) {
-    await sleep(reply.val.retryAfter ?? RETRY_DELAY);
+  for (let attempt = 1; reply.err && attempt < MAXIMUM_ATTEMPTS; attempt++) {
+    await sleep(reply.val.retryAfter ?? RETRY_DELAY_MS);
     reply = await send();
   }
   if (reply.err) {
@@ -27,65 +29,67 @@
 }
 
 function readOwnWrite(proxy: DemoProxy, token: string) {
-  return persist(() =>
+  return requestWithRetries(() =>
     proxy.callers.request(CALLER_METHODS.read, {
       group: DEMO_GROUP,
       kind: 'page-view',
-      statement: {text: 'get ?', parameters: [PAGE]},
+      statement: {text: 'get ?', parameters: [PAGE_KEY]},
       token,
-      maximumAge: MAXIMUM_AGE,
+      maximumAge: MAXIMUM_AGE_MS,
     }),
   );
 }
 
-/** Reads until a replica that has caught up serves the session. */
+/** Repeats the read until a replica serves it or the attempts are used up. */
 async function readThroughReplica(proxy: DemoProxy, token: string) {
   let read = await readOwnWrite(proxy, token);
-  for (let attempt = 1; attempt < ATTEMPTS; attempt++) {
+  for (let attempt = 1; attempt < MAXIMUM_ATTEMPTS; attempt++) {
     if (read.servedBy.role === 'replica') {
       break;
     }
-    await sleep(RETRY_DELAY);
+    await sleep(RETRY_DELAY_MS);
     read = await readOwnWrite(proxy, token);
   }
   return read;
 }
 
-/** Tells the story; gives the session's last token. */
-export async function tellStory(
+/** Runs the walkthrough and returns the last token of the session. */
+export async function runWalkthrough(
   cluster: DemoCluster,
   output: ConsoleOutput,
 ): Promise<string> {
   const [a, b] = cluster.proxies;
   output.line(
-    'Three databases of one group, the platform and two proxies run.',
+    'Three databases of one group, the platform and two proxies are running.',
   );
   output.line('A manifest was committed and is in force on both proxies.');
 
-  const written = await persist(() =>
+  const written = await requestWithRetries(() =>
     a.callers.request(CALLER_METHODS.write, {
       group: DEMO_GROUP,
-      statement: {text: 'set ? ?', parameters: [PAGE, 'revised in spring']},
+      statement: {text: 'set ? ?', parameters: [PAGE_KEY, 'revised in spring']},
       key: {id: randomUUID(), issuedAt: Date.now()},
       token: '',
     }),
   );
-  output.line(`A session writes "${PAGE}" at proxy ${a.name}: confirmed.`);
+  output.line(
+    `A session writes "${PAGE_KEY}" through proxy ${a.name}: confirmed.`,
+  );
 
   const read = await readThroughReplica(b, written.token);
   const {role, target} = read.servedBy;
   output.line(
-    `It roams to proxy ${b.name} and reads ${JSON.stringify(read.rows)} ` +
+    `It continues on proxy ${b.name} and reads ${JSON.stringify(read.rows)} ` +
       `from ${role} ${target}.`,
   );
 
   const key = {id: randomUUID(), issuedAt: Date.now()};
   const acknowledge = (proxy: DemoProxy) =>
-    persist(() =>
+    requestWithRetries(() =>
       proxy.callers.request(CALLER_METHODS.write, {
         group: DEMO_GROUP,
         kind: 'acknowledgement',
-        statement: {text: 'append ? ?', parameters: [LIST, 'employee 7']},
+        statement: {text: 'append ? ?', parameters: [LIST_KEY, 'employee 7']},
         key,
         token: read.token,
       }),
@@ -93,14 +97,14 @@
   const first = await acknowledge(a);
   const second = await acknowledge(b);
   output.line(
-    `An acknowledgement is sent twice with one key, to ${a.name} and ` +
-      `${b.name}: duplicate ${first.duplicate}, then ${second.duplicate}.`,
+    `An acknowledgement is sent twice with one key, to proxy ${a.name} and ` +
+      `proxy ${b.name}: duplicate ${first.duplicate}, then ${second.duplicate}.`,
   );
 
-  const listed = await persist(() =>
+  const listed = await requestWithRetries(() =>
     b.callers.request(CALLER_METHODS.read, {
       group: DEMO_GROUP,
-      statement: {text: 'list ?', parameters: [LIST]},
+      statement: {text: 'list ?', parameters: [LIST_KEY]},
       token: second.token,
     }),
   );
