--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,6 +1,7 @@
 /**
- * Builds `dist/kelpstep`, one program that holds all it needs: the code as one
- * file, injected into a copy of the node program that runs this script.
+ * Builds `dist/kelpstep`, a single-executable application of Node.js: the
+ * bundled command, injected into a copy of the node binary that runs this
+ * script.
  */
 import {execFileSync} from 'node:child_process';
 import {
@@ -20,15 +21,15 @@
 const BUNDLE = `${OUTPUT}/kelpstep.cjs`;
 const SEA_CONFIGURATION = `${OUTPUT}/sea.json`;
 const BLOB = `${OUTPUT}/sea.blob`;
-const UNFINISHED = `${OUTPUT}/kelpstep.unfinished`;
+const TEMPORARY_PROGRAM = `${OUTPUT}/kelpstep.unfinished`;
 const PROGRAM = `${OUTPUT}/kelpstep`;
 
-/** Names of Node.js for single-executable applications. */
+/** Name and fuse that Node.js prescribes for single-executable applications. */
 const BLOB_NAME = 'NODE_SEA_BLOB';
-const SENTINEL = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
-const CHECK_TIMEOUT_MILLISECONDS = 60_000;
+const SENTINEL_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
+const CHECK_TIMEOUT_MS = 60_000;
 
-function makeBlob(): void {
+function createBlob(): void {
   const configuration = {
     main: BUNDLE,
     output: BLOB,
@@ -42,34 +43,34 @@
 }
 
 async function injectBlob(): Promise<void> {
-  copyFileSync(process.execPath, UNFINISHED);
-  chmodSync(UNFINISHED, 0o755);
-  await inject(UNFINISHED, BLOB_NAME, readFileSync(BLOB), {
-    sentinelFuse: SENTINEL,
+  copyFileSync(process.execPath, TEMPORARY_PROGRAM);
+  chmodSync(TEMPORARY_PROGRAM, 0o755);
+  await inject(TEMPORARY_PROGRAM, BLOB_NAME, readFileSync(BLOB), {
+    sentinelFuse: SENTINEL_FUSE,
   });
-  renameSync(UNFINISHED, PROGRAM);
+  renameSync(TEMPORARY_PROGRAM, PROGRAM);
 }
 
-/** Runs the program from another directory, as on a machine without sources. */
-function check(...parameters: string[]): void {
+/** Runs the program in `/`, where it finds no sources and no packages. */
+function runBuiltProgram(...parameters: string[]): void {
   const output = execFileSync(PROGRAM, parameters, {
     cwd: '/',
     encoding: 'utf8',
-    timeout: CHECK_TIMEOUT_MILLISECONDS,
+    timeout: CHECK_TIMEOUT_MS,
   });
   process.stdout.write(`kelpstep ${parameters.join(' ')}\n${output}`);
 }
 
-async function run(): Promise<void> {
+async function build(): Promise<void> {
   mkdirSync(OUTPUT, {recursive: true});
   await bundleProgram('packages/cli/src/main.ts', BUNDLE);
-  makeBlob();
+  createBlob();
   await injectBlob();
-  check('--version');
-  check('demo', '--once');
+  runBuiltProgram('--version');
+  runBuiltProgram('demo', '--once');
 }
 
-run().catch((error: unknown) => {
+build().catch((error: unknown) => {
   process.stderr.write(`${String(error)}\n`);
   process.exitCode = 1;
 });
--- a/scripts/build_platform.ts
+++ b/scripts/build_platform.ts
@@ -1,14 +1,14 @@
-/** Builds the program of deploy/system.toml into target/. */
+/** Builds the start-up snapshot that deploy/system.toml runs into target/. */
 import {mkdirSync} from 'node:fs';
 
 import {buildSnapshot} from './platform_snapshot';
 
 const OUTPUT = 'target';
-/** Those of `run` in deploy/system.toml. */
-const FLAGS = ['--max-old-space-size=200', '--max-semi-space-size=4'];
+/** V8 flags of the `run` command in deploy/system.toml; they must be equal. */
+const V8_FLAGS = ['--max-old-space-size=200', '--max-semi-space-size=4'];
 
 mkdirSync(OUTPUT, {recursive: true});
-buildSnapshot(OUTPUT, FLAGS).catch((error: unknown) => {
+buildSnapshot(OUTPUT, V8_FLAGS).catch((error: unknown) => {
   process.stderr.write(`${String(error)}\n`);
   process.exitCode = 1;
 });
--- a/scripts/bundle.ts
+++ b/scripts/bundle.ts
@@ -1,11 +1,11 @@
-/** Bundles a program into one file that plain Node.js runs. */
+/** Bundles a program into one CommonJS file that Node.js runs directly. */
 import {type BuildOptions, build} from 'esbuild';
 
-/** yargs looks for its locales beside `import.meta.url`, which cjs lacks. */
+/** yargs finds its locales relative to `import.meta.url`, which CommonJS lacks. */
 const IMPORT_META_URL = 'importMetaUrl';
 const BANNER = `const ${IMPORT_META_URL} = require('node:url').pathToFileURL(process.execPath).href;`;
 
-/** Bundles the program whose entry file is named. */
+/** Bundles `entry` and its imports into `outfile`. */
 export async function bundleProgram(
   entry: string,
   outfile: string,
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -1,26 +1,33 @@
 /**
- * Judges a test run by its TAP output and KNOWN-RED.txt: tests named there may
- * fail, and are printed; any other failure fails the run.
+ * Compares the failures in a run's TAP output with KNOWN-RED.txt, the list of
+ * tests that are known to fail. Listed failures are printed and tolerated; any
+ * other failure fails the run.
  */
 
-/** Most lines that KNOWN-RED.txt may have. */
-export const MAXIMUM_KNOWN_RED = 3;
+/** Maximum number of entries in KNOWN-RED.txt. */
+export const MAXIMUM_KNOWN_FAILURES = 3;
 
-/** A run's failures. */
-export interface Verdict {
-  /** Failed tests that are listed. */
+/** Names of the failed tests of a run. */
+export interface RunFailures {
+  /** Failed tests that KNOWN-RED.txt lists. */
   readonly knownRed: readonly string[];
-  /** Failed tests that are not. */
+  /** Failed tests that it does not list. */
   readonly unexpected: readonly string[];
 }
 
-/** Names of the listed tests: the text in quotes of each line. */
+/**
+ * Returns the names of the tests listed in `text`: one entry per line, with
+ * the name in double quotes. Empty lines and lines that begin with # don't
+ * count.
+ */
 export function readKnownRed(text: string): string[] {
   const lines = text
     .split('\n')
     .filter(line => line.trim() !== '' && !line.startsWith('#'));
-  if (lines.length > MAXIMUM_KNOWN_RED) {
-    throw new Error(`KNOWN-RED.txt has more than ${MAXIMUM_KNOWN_RED} lines.`);
+  if (lines.length > MAXIMUM_KNOWN_FAILURES) {
+    throw new Error(
+      `KNOWN-RED.txt has more than ${MAXIMUM_KNOWN_FAILURES} lines.`,
+    );
   }
   return lines.map(line => {
     const name = /"([^"]+)"/.exec(line)?.[1];
@@ -31,7 +38,10 @@
   });
 }
 
-/** Failed tests of a TAP output, without the suites and files around them. */
+/**
+ * Returns the failed tests of a TAP output, without the suites and files that
+ * failed only because a test in them did.
+ */
 export function findFailures(tap: string): string[] {
   const failures: string[] = [];
   let current: string | undefined;
@@ -51,8 +61,8 @@
   return failures;
 }
 
-/** Sorts the failures of a run. */
-export function judgeRun(tap: string, listed: readonly string[]): Verdict {
+/** Splits the failures of a run into listed and unlisted tests. */
+export function judgeRun(tap: string, listed: readonly string[]): RunFailures {
   const failures = findFailures(tap);
   return {
     knownRed: failures.filter(name => listed.includes(name)),
--- a/scripts/module_plugins.ts
+++ b/scripts/module_plugins.ts
@@ -1,44 +1,47 @@
-/** Plugins of the bundler for modules that are loaded late or left out. */
+/** Bundler plugins for modules that are loaded on first use or excluded. */
 import {createRequire} from 'node:module';
 import type {Plugin} from 'esbuild';
 
-const NAMESPACE = 'lazy-module';
-/** They keep handles of their process, which a start-up snapshot can't hold. */
-const LAZY = /^(node:)?(crypto|http|tty|zlib)$/;
-const load = createRequire(__filename);
+const LAZY_NAMESPACE = 'lazy-module';
+/** Modules that hold handles of their process, which no snapshot can contain. */
+const LAZY_MODULES = /^(node:)?(crypto|http|tty|zlib)$/;
+const requireModule = createRequire(__filename);
 
-/** The source of a module whose members are looked up when they are read. */
+/** Renders the source of a module that loads `name` when a member is read. */
 function renderModule(name: string): string {
-  const getters = Object.keys(load(name) as object).map(
+  const getters = Object.keys(requireModule(name) as object).map(
     member => `get ${member}() { return require('${name}').${member}; },`,
   );
   return `module.exports = {\n${getters.join('\n')}\n};\n`;
 }
 
 /**
- * Texts of a library's messages in all languages: a quarter of the program, for one
- * that only speaks English.
+ * Message texts of a library in all languages. They would make up a quarter of
+ * the bundle, whose messages are in English only.
  */
-const LEFT_OUT = /\/locales\/index\.js$/;
+const EXCLUDED_MODULES = /\/locales\/index\.js$/;
 
-/** Puts an empty module in place of each that isn't needed. */
-export const leftOutModules: Plugin = {
+/** Replaces each excluded module by an empty one. */
+export const excludedModulesPlugin: Plugin = {
   name: 'left-out-module',
   setup({onLoad}) {
-    onLoad({filter: LEFT_OUT}, () => ({contents: 'export {};', loader: 'js'}));
+    onLoad({filter: EXCLUDED_MODULES}, () => ({
+      contents: 'export {};',
+      loader: 'js',
+    }));
   },
 };
 
-/** Loads each of these modules only when one of its members is first used. */
-export const lazyModules: Plugin = {
-  name: NAMESPACE,
+/** Loads each lazy module when one of its members is first read. */
+export const lazyModulesPlugin: Plugin = {
+  name: LAZY_NAMESPACE,
   setup({onResolve, onLoad}) {
-    onResolve({filter: LAZY}, ({path, namespace}) =>
-      namespace === NAMESPACE
+    onResolve({filter: LAZY_MODULES}, ({path, namespace}) =>
+      namespace === LAZY_NAMESPACE
         ? {path, external: true}
-        : {path, namespace: NAMESPACE},
+        : {path, namespace: LAZY_NAMESPACE},
     );
-    onLoad({filter: LAZY, namespace: NAMESPACE}, ({path}) => ({
+    onLoad({filter: LAZY_MODULES, namespace: LAZY_NAMESPACE}, ({path}) => ({
       contents: renderModule(path),
       loader: 'js',
     }));
--- a/scripts/platform_snapshot.ts
+++ b/scripts/platform_snapshot.ts
@@ -1,22 +1,29 @@
 /**
- * Puts the program of deploy/system.toml into a start-up snapshot of Node.js that
- * holds it with its modules loaded: a start is mostly spent on loading them.
+ * Builds a Node.js start-up snapshot of the program that deploy/system.toml
+ * runs. The snapshot contains the loaded modules, because loading them takes
+ * most of the start-up time.
  */
 import {spawnSync} from 'node:child_process';
 import {rmSync} from 'node:fs';
 import {join} from 'node:path';
 
 import {bundleProgram} from './bundle';
-import {lazyModules, leftOutModules} from './module_plugins';
+import {excludedModulesPlugin, lazyModulesPlugin} from './module_plugins';
 
-/** Libraries read the stack of an error, which has none while a snapshot is built. */
+/**
+ * Without this limit, errors have no stack while a snapshot is built, and
+ * libraries read the stack of an error.
+ */
 const BANNER = 'Error.stackTraceLimit ??= 10;';
-/** Colours of log lines, which are JSON here; it opens the standard output. */
-const EXTERNAL = ['supports-color'];
+/**
+ * Excluded because it opens standard output; it colours log lines, which are
+ * JSON here.
+ */
+const EXTERNAL_MODULES = ['supports-color'];
 
 /**
- * Builds the snapshot in a directory and gives its path. Node.js refuses it under
- * flags of V8 other than these.
+ * Builds the snapshot in a directory and returns its path. Node.js loads it
+ * only under the same V8 `flags`.
  */
 export async function buildSnapshot(
   directory: string,
@@ -27,8 +34,8 @@
   rmSync(snapshot, {force: true});
   await bundleProgram('platform/src/main.ts', program, {
     banner: {js: BANNER},
-    external: EXTERNAL,
-    plugins: [lazyModules, leftOutModules],
+    external: EXTERNAL_MODULES,
+    plugins: [lazyModulesPlugin, excludedModulesPlugin],
   });
   const {status, stderr} = spawnSync(
     process.execPath,
@@ -36,7 +43,7 @@
     {env: {PATH: process.env['PATH']}, encoding: 'utf8'},
   );
   if (status !== 0) {
-    throw new Error(`The snapshot was not built. ${stderr}`);
+    throw new Error(`Building the start-up snapshot failed: ${stderr}`);
   }
   return snapshot;
 }
--- a/scripts/postject.d.ts
+++ b/scripts/postject.d.ts
@@ -1,6 +1,6 @@
-/** postject comes without types. */
+/** Types for postject, which ships none. */
 declare module 'postject' {
-  /** Puts data under a name into a program, in place. */
+  /** Injects data into an executable file, in place, as resource `name`. */
   export function inject(
     file: string,
     name: string,
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -1,15 +1,18 @@
-/** Runs the test files of all packages: `npm test [-- part of a path ...]`. */
+/**
+ * Runs the test files of all packages, or those whose path contains one of the
+ * arguments: `npm test [-- PART_OF_PATH ...]`.
+ */
 import {spawn} from 'node:child_process';
 import {existsSync, readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
 
 import {judgeRun, readKnownRed} from './known_red';
 
-const ROOTS = ['packages', 'platform'];
-const KNOWN_RED = 'KNOWN-RED.txt';
+const TEST_ROOTS = ['packages', 'platform'];
+const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
 
 function findTests(): string[] {
-  return ROOTS.flatMap(root =>
+  return TEST_ROOTS.flatMap(root =>
     readdirSync(root, {recursive: true, encoding: 'utf8'}).map(path =>
       join(root, path),
     ),
@@ -18,15 +21,15 @@
     .sort();
 }
 
-function readListed(): string[] {
-  return existsSync(KNOWN_RED)
-    ? readKnownRed(readFileSync(KNOWN_RED, 'utf8'))
+function readListedTests(): string[] {
+  return existsSync(KNOWN_FAILURES_FILE)
+    ? readKnownRed(readFileSync(KNOWN_FAILURES_FILE, 'utf8'))
     : [];
 }
 
-/** Exit code of a run: 0 also if just listed tests failed. */
-function conclude(tap: string, code: number | null): number {
-  const {knownRed, unexpected} = judgeRun(tap, readListed());
+/** Returns the exit code of a run: 0 also if only listed tests failed. */
+function computeExitCode(tap: string, code: number | null): number {
+  const {knownRed, unexpected} = judgeRun(tap, readListedTests());
   for (const name of knownRed) {
     process.stdout.write(`# KNOWN RED, failed: ${name}\n`);
   }
@@ -52,5 +55,5 @@
   process.stdout.write(text);
 });
 run.on('close', code => {
-  process.exitCode = conclude(tap, code);
+  process.exitCode = computeExitCode(tap, code);
 });
