--- a/packages/cli/__tests__/command_line.spec.ts
+++ b/packages/cli/__tests__/command_line.spec.ts
@@ -12,7 +12,7 @@
   return runCommand(parameters);
 }
 
-/** Returns an address on which nothing listens any more. */
+/** Returns an address of this machine on which nothing listens. */
 async function unusedAddress(): Promise<string> {
   const listening = await promiseFromFuture(
     createTcpTransport().listen('127.0.0.1:0', () => {}),
--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -16,9 +16,9 @@
 import {addTransactionCommand} from './call_transaction';
 import {KEY_OPTION, formatKey, parseKey} from './key_option';
 
-/** Added to the time of a request, in which its response may still arrive. */
+/** Extra time after a request's deadline for its response to arrive. */
 const RESPONSE_MARGIN_MS = 5_000;
-/** Time of a request without a deadline. */
+/** Response time allowed for a request without a deadline. */
 const DEFAULT_RESPONSE_TIMEOUT_MS = 60_000;
 
 /** Creates a client for the callers' port that the options name. */
--- a/packages/cli/src/commands/call_transaction.ts
+++ b/packages/cli/src/commands/call_transaction.ts
@@ -84,8 +84,8 @@
   }
   const request = {...fields, transaction, key};
   const committed = await client.request(CALLER_METHODS.commit, request);
-  return committed.map(answer => ({
-    ...answer,
+  return committed.map(value => ({
+    ...value,
     rows: rows.val,
     key: formatKey(key),
   }));
--- a/packages/cli/src/commands/manifest.ts
+++ b/packages/cli/src/commands/manifest.ts
@@ -34,7 +34,7 @@
   }
 }
 
-/** Returns the findings of replacing the manifest in a file by `next`. */
+/** Checks whether `next` can replace the manifest in a file. */
 function checkAsUpdate(
   context: CommandContext,
   previousFile: string,
--- a/packages/cli/src/commands/requests.ts
+++ b/packages/cli/src/commands/requests.ts
@@ -1,4 +1,4 @@
-/** `kelpstep requests`: counts the requests in a log file. */
+/** `kelpstep requests`: summarizes the requests in a log file. */
 import {summarizeRequests} from '@kelpstep/observability';
 import {readFileSync} from 'node:fs';
 import type {Argv} from 'yargs';
--- a/scripts/build_platform.ts
+++ b/scripts/build_platform.ts
@@ -1,4 +1,4 @@
-/** Builds the start-up snapshot that deploy/system.toml runs into target/. */
+/** Builds the start-up snapshot for deploy/system.toml in target/. */
 import {mkdirSync} from 'node:fs';
 
 import {buildSnapshot} from './platform_snapshot';
