--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -1,37 +1,39 @@
-/** `kelpstep demo`: all in one process, on loopback. */
+/** `kelpstep demo`: two proxies and stand-ins in one process, on loopback. */
 import {enableLogs} from '@kelpstep/observability';
 import type {Argv} from 'yargs';
 
 import type {CommandContext} from '../command';
 import {DEMO_GROUP, startDemoCluster} from '../demo/demo_cluster';
-import {tellStory} from '../demo/demo_story';
-import {stopSignal} from '../stop_signal';
+import {runWalkthrough} from '../demo/demo_walkthrough';
+import {waitForStopSignal} from '../stop_signal';
 
-/** Adds the command. */
+/** Adds `demo`. */
 export function addDemoCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'demo',
-    'Run two proxies with stand-ins of databases and platform, and a story',
+    'Run two proxies with stand-ins of databases and platform, and a walkthrough',
     builder =>
       builder.option('once', {
         type: 'boolean',
         default: false,
-        describe: 'End after the story',
+        describe: 'Exit after the walkthrough',
       }),
     async ({once}) => {
       const {output} = context;
       enableLogs('warn', context.environment['DEBUG']);
-      const signalled = stopSignal();
+      const stopRequested = waitForStopSignal();
       const cluster = await startDemoCluster();
-      const token = await tellStory(cluster, output);
+      const token = await runWalkthrough(cluster, output);
       if (!once) {
         const {address} = cluster.proxies[1];
-        output.line('The proxies go on serving; try, then end with Ctrl-C:');
+        output.line(
+          'The proxies keep running; try this command, and stop with Ctrl-C:',
+        );
         output.line(
           `  kelpstep call read "list ?" -p acknowledged --proxy ${address} ` +
             `--group ${DEMO_GROUP} --token "${token}"`,
         );
-        await signalled;
+        await stopRequested;
       }
       await cluster.stop();
     },
