--- a/packages/bench/__tests__/fault_figures.spec.ts
+++ b/packages/bench/__tests__/fault_metrics.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {LoadRequest, REQUEST_MIX, summarize, takeFigures} from '..';
+import {LoadRequest, REQUEST_MIX, summarize, computeFaultMetrics} from '..';
 
 const SPAN = 1000;
 
@@ -26,7 +26,7 @@
 
   function figures(...after: LoadRequest[]) {
     const requests = [...before, ...after];
-    return takeFigures({requests, faultAt: SPAN, span: SPAN});
+    return computeFaultMetrics({requests, faultAt: SPAN, span: SPAN});
   }
 
   test('count the worth of what was served in time, before and after', () => {
--- a/packages/bench/index.ts
+++ b/packages/bench/index.ts
@@ -1,8 +1,8 @@
 /** Benches: the hot path, and policies under load and faults. */
 export * from './src/policies/compare_policies';
-export * from './src/policies/fault_figures';
+export * from './src/policies/fault_metrics';
 export * from './src/policies/named_faults';
 export * from './src/policies/named_policies';
-export type * from './src/policies/open_load';
+export type * from './src/policies/open_loop_load';
 export * from './src/policies/request_mix';
 export * from './src/report';
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -8,7 +8,7 @@
 import {POLICY_NAMES} from './policies/named_policies';
 import {runProxiedRead} from './proxied_read/proxied_read';
 import {Row, formatJsonLines, formatTable} from './report';
-import {playStatements} from './statements/play_statements';
+import {simulateStatements} from './statements/simulate_statements';
 
 const EXIT_FAILURE = 1;
 const PHASE = 3000;
@@ -67,7 +67,7 @@
         .option('sessions', {type: 'number', default: 18}),
     ({fault, seed, seeds, sessions}) => {
       const rows = Array.from({length: seeds}, (unusedItem, index) =>
-        playStatements({fault, seed: seed + index, sessions}),
+        simulateStatements({fault, seed: seed + index, sessions}),
       );
       print(rows);
       if (rows.some(({broken}) => broken !== '')) {
--- a/packages/bench/src/policies/compare_policies.ts
+++ b/packages/bench/src/policies/compare_policies.ts
@@ -1,4 +1,4 @@
-/** Runs a deployment under load with a fault, once per policy and seed. */
+/** Simulates a deployment under load with a fault, for one policy and seed. */
 import {
   DEPLOYMENTS,
   DeploymentName,
@@ -8,37 +8,37 @@
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {Row} from '../report';
-import {FaultFigures, takeFigures} from './fault_figures';
+import {FaultMetrics, computeFaultMetrics} from './fault_metrics';
 import {FaultName, NAMED_FAULTS} from './named_faults';
 import {NAMED_POLICIES, PolicyName} from './named_policies';
-import {startOpenLoad} from './open_load';
+import {startOpenLoopLoad} from './open_loop_load';
 import {meanSlotTime} from './request_mix';
 
-/** What is run. */
+/** Settings that all policies and seeds of a comparison share. */
 export interface RunSettings {
   readonly deployment: DeploymentName;
   readonly fault: FaultName;
-  /** Load in multiples of what all slots of the group carry. */
+  /** Load as a multiple of the capacity of all slots of the group. */
   readonly load: number;
   readonly proxies: number;
-  /** Time that a statement keeps its slot at least. */
+  /** Minimum time that a statement occupies its slot. */
   readonly serviceTime: Milliseconds;
-  /** Time before and after the fault that counts. */
+  /** Length of the measured periods before and after the fault. */
   readonly span: Milliseconds;
 }
 
-const WARM_UP: Milliseconds = 3000;
-/** For requests that arrived last. */
-const REST: Milliseconds = 4000;
-const LAG: Milliseconds = 20;
-const READ_STALENESS: Milliseconds = 1000;
+const WARM_UP_MS: Milliseconds = 3000;
+/** Lets the last requests complete; covers the longest deadline. */
+const COMPLETION_TIME_MS: Milliseconds = 4000;
+const REPLICATION_LAG_MS: Milliseconds = 20;
+const READ_STALENESS_MS: Milliseconds = 1000;
 
-/** Runs one policy with one seed in virtual time. */
+/** Runs one policy with one seed in virtual time; throws if bootstrap fails. */
 export function runPolicy(
   settings: RunSettings,
   policy: PolicyName,
   seed: number,
-): FaultFigures {
+): FaultMetrics {
   const {span, serviceTime} = settings;
   const deployment = {...DEPLOYMENTS[settings.deployment], serviceTime};
   const cluster = createCluster({
@@ -46,26 +46,26 @@
     seed,
     proxies: settings.proxies,
     groups: 1,
-    lag: LAG,
-    readStaleness: READ_STALENESS,
+    lag: REPLICATION_LAG_MS,
+    readStaleness: READ_STALENESS_MS,
     overrides: {policies: NAMED_POLICIES[policy]},
   });
   if (!cluster.bootstrap()) {
-    throw new Error(`seed ${seed}: the cluster did not come up`);
+    throw new Error(`seed ${seed}: the simulated cluster failed to bootstrap`);
   }
   const {timer, groups} = cluster;
   const slots = deployment.slots * deployment.dataCentres.length;
-  const faultAt = timer.now() + WARM_UP + span;
-  const requests = startOpenLoad({
+  const faultAt = timer.now() + WARM_UP_MS + span;
+  const requests = startOpenLoopLoad({
     cluster,
     group: groups[0] ?? '',
     rate: (settings.load * slots) / meanSlotTime(serviceTime),
     endsAt: faultAt + span,
   });
-  timer.advance(WARM_UP + span);
+  timer.advance(WARM_UP_MS + span);
   NAMED_FAULTS[settings.fault](cluster, createActionRunner(cluster));
-  timer.advance(span + REST);
-  return takeFigures({requests, faultAt, span});
+  timer.advance(span + COMPLETION_TIME_MS);
+  return computeFaultMetrics({requests, faultAt, span});
 }
 
 function median(sorted: readonly number[]): number {
@@ -76,12 +76,12 @@
     : ((sorted[middle - 1] ?? 0) + upper) / 2;
 }
 
-/** Minimum, median and maximum of each figure, as three rows. */
+/** Returns three rows: minimum, median and maximum of each metric. */
 export function summarize(
   labels: Row,
-  runs: readonly FaultFigures[],
+  runs: readonly FaultMetrics[],
 ): readonly Row[] {
-  const names = Object.keys(runs[0] ?? {}) as Array<keyof FaultFigures>;
+  const names = Object.keys(runs[0] ?? {}) as Array<keyof FaultMetrics>;
   const sorted = names.map(
     name =>
       [
--- a/packages/bench/src/policies/fault_figures.ts
+++ b/packages/bench/src/policies/fault_metrics.ts
@@ -1,49 +1,49 @@
-/** Figures of a load with a fault in its middle. */
+/** Metrics of a load before and after an injected fault. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-import type {LoadRequest} from './open_load';
+import type {LoadRequest} from './open_loop_load';
 
-/** Figures of one run; shares in percent. */
-export interface FaultFigures {
-  /** Worth served of what arrived in the time before the fault. */
+/** Metrics of one run; shares are in percent. */
+export interface FaultMetrics {
+  /** Total worth of the served requests that arrived before the fault. */
   readonly worthBefore: number;
   readonly worthAfter: number;
-  /** Worth after in percent of the worth before. */
+  /** `worthAfter` in percent of `worthBefore`. */
   readonly worthKept: number;
-  /** Worth served of the worth that was asked for, after the fault. */
+  /** Worth served after the fault in percent of the worth requested. */
   readonly servedShare: number;
   /** Longest time without a served write after the fault. */
   readonly writeGapMilliseconds: number;
-  /** From the fault until service stays normal. */
+  /** Time from the fault until service stays normal. */
   readonly returnMilliseconds: number;
-  /** Of the served reads, all of which state an age. */
+  /** Share of served reads from a replica; every read accepts staleness. */
   readonly replicaShare: number;
   readonly refused: number;
   readonly late: number;
   readonly lost: number;
-  /** Attempts after the first, per hundred requests. */
+  /** Retries per hundred requests. */
   readonly repeats: number;
 }
 
-/** What figures are taken from. */
+/** A finished run. */
 export interface FaultRun {
   readonly requests: readonly LoadRequest[];
   readonly faultAt: Milliseconds;
-  /** Time before and after the fault that counts. */
+  /** Length of the measured periods before and after the fault. */
   readonly span: Milliseconds;
 }
 
 const PERCENT = 100;
-/** Service is judged for each so much time. */
-const BUCKET: Milliseconds = 500;
-/** Normal is at least this share of what was served before. */
-const NORMAL = 0.9;
+/** Interval for comparing service with the period before the fault. */
+const BUCKET_MS: Milliseconds = 500;
+/** Smallest share of the previous service that counts as normal. */
+const NORMAL_SERVICE_RATIO = 0.9;
 
 function percent(part: number, whole: number): number {
   return whole === 0 ? PERCENT : (PERCENT * part) / whole;
 }
 
-function worthOf(requests: readonly LoadRequest[]): number {
+function sumWorth(requests: readonly LoadRequest[]): number {
   return requests.reduce((sum, {kind}) => sum + kind.worth, 0);
 }
 
@@ -51,7 +51,7 @@
   return end === 'served';
 }
 
-function longestGap(
+function longestWriteGap(
   {faultAt, span}: FaultRun,
   after: readonly LoadRequest[],
 ): Milliseconds {
@@ -69,40 +69,40 @@
   return longest;
 }
 
-/** The end of the last time in which less than normal was served. */
-function returnTime(
+/** Returns the end of the last bucket below normal service. */
+function recoveryTime(
   {faultAt, span}: FaultRun,
   after: readonly LoadRequest[],
   shareBefore: number,
 ): Milliseconds {
   let end = 0;
-  for (let start = 0; start < span; start += BUCKET) {
+  for (let start = 0; start < span; start += BUCKET_MS) {
     const inBucket = after.filter(
       ({arrivedAt}) =>
-        arrivedAt >= faultAt + start && arrivedAt < faultAt + start + BUCKET,
+        arrivedAt >= faultAt + start && arrivedAt < faultAt + start + BUCKET_MS,
     );
     const share = percent(
-      worthOf(inBucket.filter(isServed)),
-      worthOf(inBucket),
+      sumWorth(inBucket.filter(isServed)),
+      sumWorth(inBucket),
     );
-    if (share < NORMAL * shareBefore) {
-      end = start + BUCKET;
+    if (share < NORMAL_SERVICE_RATIO * shareBefore) {
+      end = start + BUCKET_MS;
     }
   }
   return end;
 }
 
-/** Takes the figures of a run that is over. */
-export function takeFigures(run: FaultRun): FaultFigures {
+/** Computes the metrics of a finished run. */
+export function computeFaultMetrics(run: FaultRun): FaultMetrics {
   const {requests, faultAt, span} = run;
-  const within = (from: Milliseconds) =>
+  const arrivedFrom = (from: Milliseconds) =>
     requests.filter(
       ({arrivedAt}) => arrivedAt >= from && arrivedAt < from + span,
     );
-  const before = within(faultAt - span);
-  const after = within(faultAt);
-  const worthBefore = worthOf(before.filter(isServed));
-  const worthAfter = worthOf(after.filter(isServed));
+  const before = arrivedFrom(faultAt - span);
+  const after = arrivedFrom(faultAt);
+  const worthBefore = sumWorth(before.filter(isServed));
+  const worthAfter = sumWorth(after.filter(isServed));
   const reads = after.filter(
     request => isServed(request) && request.kind.method === 'read',
   );
@@ -113,12 +113,12 @@
     worthBefore,
     worthAfter,
     worthKept: percent(worthAfter, worthBefore),
-    servedShare: percent(worthAfter, worthOf(after)),
-    writeGapMilliseconds: longestGap(run, after),
-    returnMilliseconds: returnTime(
+    servedShare: percent(worthAfter, sumWorth(after)),
+    writeGapMilliseconds: longestWriteGap(run, after),
+    returnMilliseconds: recoveryTime(
       run,
       after,
-      percent(worthBefore, worthOf(before)),
+      percent(worthBefore, sumWorth(before)),
     ),
     replicaShare: percent(
       reads.filter(({role}) => role === 'replica').length,
--- a/packages/bench/src/policies/named_policies.ts
+++ b/packages/bench/src/policies/named_policies.ts
@@ -1,8 +1,8 @@
-/** Policies that runs compare, by name. */
+/** Policies that the bench compares, by name. */
 import {FIRST_COME_FIRST_SERVED, createNoLimit} from '@kelpstep/pool';
 import {RequestPolicies, readFromAny, readFromPrimary} from '@kelpstep/routing';
 
-/** What differs from the default policies, by the policy's name. */
+/** Overrides of the default policies, by name. */
 export const NAMED_POLICIES = {
   default: {},
   'first-come': {queue: FIRST_COME_FIRST_SERVED},
@@ -14,8 +14,6 @@
   'read-any': {read: readFromAny},
 } as const satisfies Readonly<Record<string, Partial<RequestPolicies>>>;
 
-/** Name of a policy. */
 export type PolicyName = keyof typeof NAMED_POLICIES;
 
-/** Names of all policies. */
 export const POLICY_NAMES = Object.keys(NAMED_POLICIES) as PolicyName[];
--- a/packages/bench/src/policies/open_load.ts
+++ b/packages/bench/src/policies/open_loop_load.ts
@@ -1,29 +1,30 @@
-/** Callers whose requests come at a rate, whatever becomes of those before. */
+/** Open-loop load: the arrival rate does not depend on earlier requests. */
 import {Milliseconds, Task, sleep, waitFor} from '@kelpstep/runtime';
 import {Cluster, callProxy} from '@kelpstep/scenarios';
 
-import {LoadKind, pickKind, statementOf} from './request_mix';
+import {LoadKind, pickKind, createStatement} from './request_mix';
 
-/** What became of a request. Times are monotonic. */
+/** A request of the load and its outcome. Times are monotonic. */
 export interface LoadRequest {
   readonly kind: LoadKind;
   readonly arrivedAt: Milliseconds;
   endedAt: Milliseconds;
   /**
-   * `served`: in time and fresh enough. `late`: answered, but not so.
-   * `refused`: not run. `lost`: no answer, or its outcome is unknown.
+   * `served`: answered within the deadline and the accepted staleness.
+   * `late`: answered, but after the deadline or too stale.
+   * `refused`: not run. `lost`: no answer, or the outcome is unknown.
    */
   end: 'served' | 'late' | 'refused' | 'lost';
   role: 'primary' | 'replica' | undefined;
-  /** Times that it was sent. */
+  /** How often the request was sent. */
   attempts: number;
 }
 
-/** What a load is made of. */
-export interface OpenLoadOptions {
+/** Options of an open-loop load. */
+export interface OpenLoopLoadOptions {
   readonly cluster: Cluster;
   readonly group: string;
-  /** Requests a millisecond. */
+  /** Requests per millisecond. */
   readonly rate: number;
   readonly endsAt: Milliseconds;
 }
@@ -34,32 +35,32 @@
   readonly age?: Milliseconds;
 }
 
-const SESSIONS = 100;
+const SESSION_COUNT = 100;
 const MAXIMUM_ATTEMPTS = 3;
-const DEFAULT_RETURN: Milliseconds = 50;
+const DEFAULT_BACKOFF_MS: Milliseconds = 50;
 
-/** Starts the load; the list grows as requests end. */
-export function startOpenLoad(options: OpenLoadOptions): LoadRequest[] {
+/** Starts the load; the returned list grows as requests end. */
+export function startOpenLoopLoad(options: OpenLoopLoadOptions): LoadRequest[] {
   const {cluster, group, rate, endsAt} = options;
   const {timer, runtime, proxies, deployment} = cluster;
   const random = cluster.random.split();
-  const tokens = Array.from({length: SESSIONS}, () => '');
+  const tokens = Array.from({length: SESSION_COUNT}, () => '');
   const ended: LoadRequest[] = [];
 
-  function parametersOf(kind: LoadKind, session: number): object {
+  function createParameters(kind: LoadKind, session: number): object {
     const name = `session-${session}`;
     const key = {id: random.hexadecimal(16), issuedAt: timer.wallClock()};
     return {
       group,
       kind: kind.name,
       token: tokens[session],
-      statement: statementOf(kind, name),
+      statement: createStatement(kind, name),
       ...(kind.method === 'write' ? {key} : {}),
       ...(kind.maximumAge === undefined ? {} : {maximumAge: kind.maximumAge}),
     };
   }
 
-  function conclude(request: LoadRequest, answer: Answer): void {
+  function recordAnswer(request: LoadRequest, answer: Answer): void {
     const {kind, arrivedAt, endedAt} = request;
     const isFresh = (answer.age ?? 0) <= (kind.maximumAge ?? Infinity);
     const isInTime = endedAt - arrivedAt <= kind.deadline;
@@ -67,17 +68,17 @@
     request.role = answer.servedBy?.role;
   }
 
-  /** Comes back when told to, while there is time. */
+  /** Retries after the requested backoff while the deadline allows it. */
   function* send(request: LoadRequest): Task<void> {
     const {kind, arrivedAt} = request;
-    const session = random.integer(0, SESSIONS - 1);
-    const parameters = parametersOf(kind, session);
+    const session = random.integer(0, SESSION_COUNT - 1);
+    const parameters = createParameters(kind, session);
     const deadline = Math.floor(timer.wallClock() + kind.deadline);
     for (;;) {
       request.attempts += 1;
-      const offered = proxies.offered();
+      const available = proxies.offered();
       const proxy = random.pick(
-        offered.length > 0 ? offered : proxies.running(),
+        available.length > 0 ? available : proxies.running(),
       );
       const reply = yield* waitFor(
         callProxy(timer, deployment.callerLatency, proxy, kind.method, {
@@ -89,24 +90,24 @@
       if (reply !== 'lost' && reply.ok) {
         const answer = reply.val as Answer;
         tokens[session] = answer.token;
-        conclude(request, answer);
+        recordAnswer(request, answer);
         return;
       }
       const isRefused = reply !== 'lost' && reply.val.outcome === 'not_run';
       request.end = isRefused ? 'refused' : 'lost';
-      const back =
+      const backoff =
         reply === 'lost'
-          ? DEFAULT_RETURN
-          : (reply.val.retryAfter ?? DEFAULT_RETURN);
-      const isOver = timer.now() + back >= arrivedAt + kind.deadline;
-      if (isOver || request.attempts === MAXIMUM_ATTEMPTS) {
+          ? DEFAULT_BACKOFF_MS
+          : (reply.val.retryAfter ?? DEFAULT_BACKOFF_MS);
+      const isPastDeadline = timer.now() + backoff >= arrivedAt + kind.deadline;
+      if (isPastDeadline || request.attempts === MAXIMUM_ATTEMPTS) {
         return;
       }
-      yield* sleep(back);
+      yield* sleep(backoff);
     }
   }
 
-  function* arrive(): Task<void> {
+  function* runRequest(): Task<void> {
     const arrivedAt = timer.now();
     const request: LoadRequest = {
       kind: pickKind(random),
@@ -120,14 +121,14 @@
     ended.push(request);
   }
 
-  /** Times between arrivals are exponential. */
-  function* run(): Task<void> {
+  /** Interarrival times are exponentially distributed. */
+  function* generateArrivals(): Task<void> {
     while (timer.now() < endsAt) {
       yield* sleep(-Math.log(1 - random.fraction()) / rate);
-      runtime.spawn('request', arrive());
+      runtime.spawn('request', runRequest());
     }
   }
 
-  runtime.spawn('load', run());
+  runtime.spawn('load', generateArrivals());
   return ended;
 }
--- a/packages/bench/src/policies/request_mix.ts
+++ b/packages/bench/src/policies/request_mix.ts
@@ -1,23 +1,23 @@
-/** What callers ask for: many cheap views, few writes that matter. */
+/** Request mix: many reads of low worth, few writes of high worth. */
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 import type {Statement} from '@kelpstep/protocol';
 
 /** A kind of request of the load. */
 export interface LoadKind {
-  /** As in the manifest that simulated clusters commit. */
+  /** A request kind of the manifest that simulated clusters commit. */
   readonly name: string;
   /** Share of all requests, percent. */
   readonly share: number;
   readonly worth: number;
   readonly deadline: Milliseconds;
   readonly method: 'read' | 'write';
-  /** Age that a read states. */
+  /** Maximum staleness that a read accepts. */
   readonly maximumAge?: Milliseconds;
-  /** Time in a slot on top of the target's service time. */
+  /** Time in a slot in addition to the target's service time. */
   readonly extraTime: Milliseconds;
 }
 
-/** Kinds of request; the shares come to 100. */
+/** Request kinds; the shares add up to 100. */
 export const REQUEST_MIX: readonly LoadKind[] = [
   {
     name: 'view',
@@ -55,31 +55,31 @@
   },
 ];
 
-const ALL = 100;
+const PERCENT = 100;
 
-/** Picks the kind of the next request. */
+/** Picks a kind at random, weighted by share. */
 export function pickKind(random: Random): LoadKind {
-  let rest = random.fraction() * ALL;
+  let remaining = random.fraction() * PERCENT;
   for (const kind of REQUEST_MIX) {
-    rest -= kind.share;
-    if (rest < 0) {
+    remaining -= kind.share;
+    if (remaining < 0) {
       return kind;
     }
   }
   return REQUEST_MIX[0] as LoadKind;
 }
 
-/** Mean time that a request keeps a slot. */
+/** Mean time that a request occupies a slot. */
 export function meanSlotTime(serviceTime: Milliseconds): Milliseconds {
   return REQUEST_MIX.reduce(
     (sum, {share, extraTime}) =>
-      sum + (share / ALL) * (serviceTime + extraTime),
+      sum + (share / PERCENT) * (serviceTime + extraTime),
     0,
   );
 }
 
-/** The statement of a request of a session. */
-export function statementOf(kind: LoadKind, session: string): Statement {
+/** Creates the statement of a request; writes set the session's own key. */
+export function createStatement(kind: LoadKind, session: string): Statement {
   if (kind.method === 'write') {
     return {text: 'set ? ?', parameters: [session, kind.name]};
   }
