--- a/packages/bench/src/failover_gap/measure_failover.ts
+++ b/packages/bench/src/failover_gap/measure_failover.ts
@@ -1,4 +1,4 @@
-/** Failover and planned changes of one deployment, on separate processes. */
+/** Measures failover and planned changes of a deployment in real processes. */
 import {
   DEPLOYMENTS,
   DeploymentName,
@@ -6,31 +6,31 @@
   startProcessCluster,
 } from '@kelpstep/scenarios';
 
-import {Figure} from './figures';
-import {measureLosses} from './losses';
 import {startNaiveGroup} from './naive_failover';
 import {measurePlannedChanges} from './planned_changes';
+import {measurePrimaryFailures} from './primary_failures';
+import {SampleSet} from './sample_summary';
 
 const PROXY_COUNT = 8;
 const GAP_GOAL = {median: 1500, maximum: 3000};
 const SWITCH_OVER_GOAL = {maximum: 100};
 const IN_FORCE_GOAL = {maximum: 1000};
 
-/** What to measure. */
-export interface FailoverMeasurement {
+/** Options of a failover measurement. */
+export interface FailoverMeasurementOptions {
   readonly deployment: DeploymentName;
-  /** Losses of each kind. */
+  /** Number of failures and planned changes of each kind. */
   readonly runs: number;
-  /** Told of each step. */
+  /** Receives the name of each step when it starts. */
   readonly onStep: (step: string) => void;
 }
 
-/** Measures; latencies between data centres are not part of it. */
+/** Runs all measurements; latency between data centres is not simulated. */
 export async function measureFailover({
   deployment,
   runs,
   onStep,
-}: FailoverMeasurement): Promise<Figure[]> {
+}: FailoverMeasurementOptions): Promise<SampleSet[]> {
   const {slots, connectionLimit, connectionSetup, serviceTime} =
     DEPLOYMENTS[deployment];
   const databaseOptions = [
@@ -57,25 +57,29 @@
     const planned = await measurePlannedChanges(cluster, runs);
     onStep('kill');
     const [kill, naiveKill] = await Promise.all([
-      measureLosses(cluster, 'kill', runs),
-      naive.measureLosses('kill', runs),
+      measurePrimaryFailures(cluster, 'kill', runs),
+      naive.measurePrimaryFailures('kill', runs),
     ]);
     onStep('freeze');
     const [freeze, naiveFreeze] = await Promise.all([
-      measureLosses(cluster, 'freeze', runs),
-      naive.measureLosses('freeze', runs),
+      measurePrimaryFailures(cluster, 'freeze', runs),
+      naive.measurePrimaryFailures('freeze', runs),
     ]);
     await naive.stop();
     onStep('kill with a silent platform');
     cluster.platform().child.kill('SIGSTOP');
-    const alone = await measureLosses(cluster, 'kill', runs);
+    const withoutPlatform = await measurePrimaryFailures(cluster, 'kill', runs);
 
     return [
       {kind: 'gap, primary killed', samples: kill, goal},
       {kind: 'gap, primary killed, naive', samples: naiveKill},
       {kind: 'gap, primary frozen', samples: freeze, goal},
       {kind: 'gap, primary frozen, naive', samples: naiveFreeze},
-      {kind: 'gap, killed while the platform is silent', samples: alone, goal},
+      {
+        kind: 'gap, killed while the platform is silent',
+        samples: withoutPlatform,
+        goal,
+      },
       {
         kind: 'planned switch-over, no write confirmed',
         samples: planned.switchOver,
@@ -87,9 +91,9 @@
         goal: IN_FORCE_GOAL,
       },
       {
-        // No goal: it counts reads alone, and the target may have had none.
+        // No goal: only reads count, and the target may have served none.
         kind: 'last read of a leaving target',
-        samples: planned.lastWork,
+        samples: planned.lastRead,
       },
     ];
   } finally {
--- a/packages/bench/src/failover_gap/naive_failover.ts
+++ b/packages/bench/src/failover_gap/naive_failover.ts
@@ -1,7 +1,8 @@
 /**
- * The naive version: no proxy; a controller polls the primary each second and
- * after three polls without an answer promotes the replica that is ahead.
- * Writers send straight to the primary and take its answer for confirmed.
+ * Naive failover as a baseline, without a proxy: a controller polls the primary
+ * every second and promotes the most advanced replica after three unanswered
+ * polls. Writers connect directly to the primary and count a write as confirmed
+ * once it answers.
  */
 import {
   Method,
@@ -23,21 +24,21 @@
 } from '@kelpstep/scenarios';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {LossKind, longestGap} from './losses';
+import {PrimaryFailureKind, longestConfirmationGap} from './primary_failures';
 
-const MEMBERS = ['naive-1', 'naive-2', 'naive-3'];
-const POLL_PERIOD = 1000;
-const MISSED_POLLS = 3;
-const WRITE_TIMEOUT = 500;
-const PAUSE = 15;
-const WRITERS = 4;
-const ENTRIES = 8;
+const MEMBER_IDS = ['naive-1', 'naive-2', 'naive-3'];
+const POLL_INTERVAL_MS = 1000;
+const MISSED_POLL_LIMIT = 3;
+const WRITE_TIMEOUT_MS = 500;
+const WRITE_PAUSE_MS = 15;
+const WRITER_COUNT = 4;
+const CONFIRMATION_COUNT = 8;
 
 interface Confirmation {
   readonly confirmedAt: number;
 }
 
-async function order<P, R>(
+async function sendCommand<P, R>(
   address: string,
   method: Method<P, R>,
   parameters: P,
@@ -49,136 +50,155 @@
   }
 }
 
-/** Starts three databases, a controller and writers; measures losses. */
+/**
+ * Starts three databases, a controller and writers. The returned group measures
+ * the confirmation gap of each primary failure, in milliseconds.
+ */
 export async function startNaiveGroup(
   processes: ProcessTable,
   databaseOptions: readonly string[],
 ) {
   const databases = new Map<string, StandInProcess>();
   const confirmed: Confirmation[] = [];
-  let primary = MEMBERS[0] ?? '';
+  let primary = MEMBER_IDS[0] ?? '';
   let term = 0;
-  let stopping = false;
+  let isStopping = false;
 
   function addressOf(id: string): string {
     return databases.get(id)?.address ?? '';
   }
 
   async function start(id: string): Promise<void> {
-    const given = databases.get(id)?.address;
+    const previousAddress = databases.get(id)?.address;
     const parameters = ['database', '--id', id, ...databaseOptions];
-    databases.set(id, await processes.startStandIn(parameters, given));
+    databases.set(
+      id,
+      await processes.startStandIn(parameters, previousAddress),
+    );
   }
 
   async function follow(id: string): Promise<void> {
-    await order(addressOf(id), targetFence, {term});
+    await sendCommand(addressOf(id), targetFence, {term});
     const leader = addressOf(primary);
-    await order(addressOf(id), targetFollow, {term, primary: leader});
+    await sendCommand(addressOf(id), targetFollow, {term, primary: leader});
   }
 
   async function promote(id: string): Promise<void> {
     term++;
-    await order(addressOf(id), targetFence, {term});
-    await order(addressOf(id), targetPromote, {term});
-    const lost = primary;
+    await sendCommand(addressOf(id), targetFence, {term});
+    await sendCommand(addressOf(id), targetPromote, {term});
+    const failedPrimary = primary;
     primary = id;
-    const others = MEMBERS.filter(other => other !== id && other !== lost);
+    const others = MEMBER_IDS.filter(
+      other => other !== id && other !== failedPrimary,
+    );
     await Promise.all(others.map(follow));
   }
 
-  async function promoteFurthest(): Promise<void> {
-    const candidates = MEMBERS.filter(id => id !== primary);
+  async function promoteMostAdvanced(): Promise<void> {
+    const candidates = MEMBER_IDS.filter(id => id !== primary);
     const statuses = await Promise.all(
       candidates.map(id => askTarget(addressOf(id))),
     );
-    const [best] = statuses
+    const [mostAdvanced] = statuses
       .filter((status): status is TargetStatus => status !== undefined)
       .sort((left, right) => right.end.position - left.end.position);
-    if (best !== undefined) {
-      await promote(best.target);
+    if (mostAdvanced !== undefined) {
+      await promote(mostAdvanced.target);
     }
   }
 
-  async function control(): Promise<void> {
-    let missed = 0;
-    while (!stopping) {
-      await sleep(POLL_PERIOD);
+  async function runController(): Promise<void> {
+    let missedPolls = 0;
+    while (!isStopping) {
+      await sleep(POLL_INTERVAL_MS);
       const answer = await Promise.race([
         askTarget(addressOf(primary)),
-        sleep(POLL_PERIOD, undefined),
+        sleep(POLL_INTERVAL_MS, undefined),
       ]);
-      missed = answer === undefined ? missed + 1 : 0;
-      if (missed === MISSED_POLLS) {
-        await promoteFurthest();
-        missed = 0;
+      missedPolls = answer === undefined ? missedPolls + 1 : 0;
+      if (missedPolls === MISSED_POLL_LIMIT) {
+        await promoteMostAdvanced();
+        missedPolls = 0;
       }
     }
   }
 
-  async function write(): Promise<void> {
-    while (!stopping) {
+  async function runWriter(): Promise<void> {
+    while (!isStopping) {
       const peer = await connectToTarget(addressOf(primary));
-      let works = peer !== undefined;
+      let isUsable = peer !== undefined;
       const leader = primary;
-      while (!stopping && works && peer !== undefined && leader === primary) {
+      while (
+        !isStopping &&
+        isUsable &&
+        peer !== undefined &&
+        leader === primary
+      ) {
         const statement = appendStatement('naive', 'entry');
         const parameters = {statement, mode: 'write' as const, term};
         const reply = await requestTarget(
           peer,
           targetExecute,
           parameters,
-          WRITE_TIMEOUT,
+          WRITE_TIMEOUT_MS,
         );
-        works = reply.ok;
-        if (works) {
+        isUsable = reply.ok;
+        if (isUsable) {
           confirmed.push({confirmedAt: realClock.now()});
         }
-        await sleep(PAUSE);
+        await sleep(WRITE_PAUSE_MS);
       }
-      peer?.close('moving on');
-      await sleep(PAUSE);
+      peer?.close('reconnecting');
+      await sleep(WRITE_PAUSE_MS);
     }
   }
 
   function untilConfirmed(count: number): Promise<unknown> {
     const from = confirmed.length;
-    return eventually('writes of the naive version', async () =>
+    return eventually('confirmed writes in the naive group', async () =>
       confirmed.length >= from + count ? true : undefined,
     );
   }
 
-  await Promise.all(MEMBERS.map(start));
+  await Promise.all(MEMBER_IDS.map(start));
   term = 1;
-  await order(addressOf(primary), targetFence, {term});
-  await order(addressOf(primary), targetPromote, {term});
-  await Promise.all(MEMBERS.slice(1).map(follow));
-  const running = [control(), ...Array.from({length: WRITERS}, write)];
+  await sendCommand(addressOf(primary), targetFence, {term});
+  await sendCommand(addressOf(primary), targetPromote, {term});
+  await Promise.all(MEMBER_IDS.slice(1).map(follow));
+  const running = [
+    runController(),
+    ...Array.from({length: WRITER_COUNT}, runWriter),
+  ];
 
   return {
-    async measureLosses(kind: LossKind, runs: number): Promise<number[]> {
+    async measurePrimaryFailures(
+      kind: PrimaryFailureKind,
+      runs: number,
+    ): Promise<number[]> {
       const gaps: number[] = [];
       for (let run = 0; run < runs; run++) {
-        await untilConfirmed(ENTRIES);
-        const lost = primary;
-        const lostAt = realClock.now();
-        const child = databases.get(lost)?.child;
+        await untilConfirmed(CONFIRMATION_COUNT);
+        const failedPrimary = primary;
+        const failedAt = realClock.now();
+        const child = databases.get(failedPrimary)?.child;
         child?.kill(kind === 'kill' ? 'SIGKILL' : 'SIGSTOP');
-        await eventually('a successor', async () =>
-          primary !== lost ? true : undefined,
+        await eventually('a new primary in the naive group', async () =>
+          primary !== failedPrimary ? true : undefined,
         );
-        await untilConfirmed(ENTRIES);
-        gaps.push(longestGap(confirmed, lostAt, realClock.now()));
+        await untilConfirmed(CONFIRMATION_COUNT);
+        gaps.push(longestConfirmationGap(confirmed, failedAt, realClock.now()));
         if (kind === 'kill') {
-          await start(lost);
+          await start(failedPrimary);
         } else {
           child?.kill('SIGCONT');
         }
-        await follow(lost);
+        await follow(failedPrimary);
       }
       return gaps;
     },
     async stop(): Promise<void> {
-      stopping = true;
+      isStopping = true;
       await Promise.all(running);
     },
   };
--- a/packages/bench/src/failover_gap/planned_changes.ts
+++ b/packages/bench/src/failover_gap/planned_changes.ts
@@ -1,4 +1,4 @@
-/** Planned changes: a primary leaves by manifest. */
+/** Measures planned changes: the manifest marks the primary as leaving. */
 import {CALLER_METHODS} from '@kelpstep/protocol';
 import {
   PROCESS_GROUP,
@@ -8,16 +8,16 @@
 } from '@kelpstep/scenarios';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {longestGap, startMeasuredWriters} from './losses';
+import {longestConfirmationGap, startWriters} from './primary_failures';
 
-/** Samples of planned changes, milliseconds, one a run each. */
+/** Samples of planned changes in milliseconds, one of each kind per run. */
 export interface PlannedChanges {
-  /** Longest time without a confirmed write around the switch-over. */
+  /** Longest time without a confirmed write during the switch-over. */
   readonly switchOver: readonly number[];
-  /** From the commit's start until all proxies have the manifest in force. */
+  /** From the start of the commit until the manifest is in force on all proxies. */
   readonly inForce: readonly number[];
-  /** From the commit's start to the last request that the target served. */
-  readonly lastWork: readonly number[];
+  /** From the start of the commit to the last read that the target served. */
+  readonly lastRead: readonly number[];
 }
 
 interface ServedRead {
@@ -25,17 +25,17 @@
   readonly sentAt: number;
 }
 
-const READERS = 4;
-const PAUSE = 10;
-const MAXIMUM_AGE = 3000;
-const ENTRIES_BEFORE = 20;
-/** Work of a leaving target is looked for during this time. */
-const OBSERVATION_TIME = 3000;
+const READER_COUNT = 4;
+const READ_PAUSE_MS = 10;
+const MAXIMUM_AGE_MS = 3000;
+const ENTRY_COUNT_BEFORE = 20;
+/** Reads served by the leaving target are recorded for this time. */
+const OBSERVATION_TIME_MS = 3000;
 
-/** Readers of a stated age, who note which target served them. */
+/** Starts readers that accept staleness and record the target of each read. */
 function startReaders(cluster: ProcessCluster) {
   const served: ServedRead[] = [];
-  let stopping = false;
+  let isStopping = false;
 
   async function read(): Promise<void> {
     const caller = createSessionCaller({
@@ -43,63 +43,65 @@
       proxies: cluster.callerAddresses,
     });
     const statement = {text: 'get ?', parameters: ['any']};
-    while (!stopping) {
+    while (!isStopping) {
       const sentAt = realClock.now();
       const {servedBy} = await caller.send(CALLER_METHODS.read, {
         statement,
-        maximumAge: MAXIMUM_AGE,
+        maximumAge: MAXIMUM_AGE_MS,
       });
       served.push({target: servedBy.target, sentAt});
-      await sleep(PAUSE);
+      await sleep(READ_PAUSE_MS);
     }
   }
 
-  const running = Promise.all(Array.from({length: READERS}, read));
+  const running = Promise.all(Array.from({length: READER_COUNT}, read));
   return {
     served,
     async stop(): Promise<void> {
-      stopping = true;
+      isStopping = true;
       await running;
     },
   };
 }
 
-/** Lets the primary leave and come back, again and again. */
+/** Repeatedly marks the primary as leaving, then restores the manifest. */
 export async function measurePlannedChanges(
   cluster: ProcessCluster,
   runs: number,
 ): Promise<PlannedChanges> {
   const names = cluster.plans.map(({name}) => name);
-  const [operatorsProxy = ''] = names;
+  const [operatorProxy = ''] = names;
   const switchOver: number[] = [];
   const inForce: number[] = [];
-  const lastWork: number[] = [];
-  const load = startMeasuredWriters(cluster);
+  const lastRead: number[] = [];
+  const load = startWriters(cluster);
   const readers = startReaders(cluster);
   let version = 1;
 
   async function commit(leaving: readonly string[]): Promise<void> {
-    await cluster.commit(operatorsProxy, version, leaving);
+    await cluster.commit(operatorProxy, version, leaving);
     version++;
     await Promise.all(names.map(name => cluster.untilInForce(name, version)));
   }
 
   for (let run = 0; run < runs; run++) {
     const primary = await cluster.untilWhole();
-    await load.untilConfirmed(ENTRIES_BEFORE);
+    await load.untilConfirmed(ENTRY_COUNT_BEFORE);
     const startedAt = realClock.now();
     await commit([primary.id]);
     inForce.push(realClock.now() - startedAt);
-    await cluster.untilPrimary(operatorsProxy, primary);
-    await sleep(OBSERVATION_TIME);
-    switchOver.push(longestGap(load.confirmed, startedAt, realClock.now()));
-    const late = readers.served
+    await cluster.untilPrimary(operatorProxy, primary);
+    await sleep(OBSERVATION_TIME_MS);
+    switchOver.push(
+      longestConfirmationGap(load.confirmed, startedAt, realClock.now()),
+    );
+    const readDelays = readers.served
       .filter(({target}) => target === primary.id)
       .map(({sentAt}) => sentAt - startedAt);
-    lastWork.push(Math.max(0, ...late));
+    lastRead.push(Math.max(0, ...readDelays));
     await commit([]);
   }
   await load.stop();
   await readers.stop();
-  return {switchOver, inForce, lastWork};
+  return {switchOver, inForce, lastRead};
 }
--- a/packages/bench/src/failover_gap/figures.ts
+++ b/packages/bench/src/failover_gap/sample_summary.ts
@@ -1,28 +1,28 @@
-/** Figures of repeated measurements: least, median, greatest. */
+/** Summaries of repeated measurements: minimum, median and maximum. */
 
-/** Samples of one kind, milliseconds. */
-export interface Figure {
+/** Samples of one kind, in milliseconds. */
+export interface SampleSet {
   readonly kind: string;
   readonly samples: readonly number[];
-  /** Greatest acceptable median and maximum, where one is set. */
+  /** Highest acceptable median and maximum. */
   readonly goal?: {readonly median?: number; readonly maximum: number};
 }
 
-/** A figure in short. */
-export interface FigureSummary {
+/** Summary of a sample set, in milliseconds. */
+export interface SampleSummary {
   readonly kind: string;
   readonly runs: number;
   readonly minimum: number;
   readonly median: number;
   readonly maximum: number;
-  /** Absent without a goal. */
+  /** Whether the goal is met; absent without a goal. */
   readonly met?: boolean;
 }
 
 const KIND_WIDTH = 46;
 const NUMBER_WIDTH = 9;
 
-/** The median; NaN without samples. */
+/** Returns the median, NaN without samples. */
 export function median(samples: readonly number[]): number {
   const sorted = [...samples].sort((left, right) => left - right);
   const middle = sorted.length >> 1;
@@ -31,8 +31,8 @@
   return sorted.length % 2 === 0 ? (lower + upper) / 2 : upper;
 }
 
-/** Sums a figure up. */
-export function summarize({kind, samples, goal}: Figure): FigureSummary {
+/** Summarizes a sample set; values are rounded to milliseconds. */
+export function summarize({kind, samples, goal}: SampleSet): SampleSummary {
   const summary = {
     kind,
     runs: samples.length,
@@ -49,19 +49,19 @@
   return {...summary, met};
 }
 
-function verdict({met}: FigureSummary): string {
+function formatGoal({met}: SampleSummary): string {
   if (met === undefined) {
     return '-';
   }
   return met ? 'met' : 'not met';
 }
 
-/** A text table of summaries. */
-export function renderTable(summaries: readonly FigureSummary[]): string {
+/** Formats summaries as a text table. */
+export function renderTable(summaries: readonly SampleSummary[]): string {
   const head = ['runs', 'minimum', 'median', 'maximum', 'goal'];
   const rows = summaries.map(summary => {
     const {kind, runs, minimum, median, maximum} = summary;
-    return [kind, runs, minimum, median, maximum, verdict(summary)];
+    return [kind, runs, minimum, median, maximum, formatGoal(summary)];
   });
   return [['milliseconds', ...head], ...rows]
     .map(([kind, ...cells]) => {
--- a/packages/bench/src/measure_main.ts
+++ b/packages/bench/src/measure_main.ts
@@ -3,7 +3,7 @@
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
 
-import {renderTable, summarize} from './failover_gap/figures';
+import {renderTable, summarize} from './failover_gap/sample_summary';
 import {measureFailover} from './failover_gap/measure_failover';
 
 const DEPLOYMENT_NAMES: readonly DeploymentName[] = ['office', 'utility'];
