--- a/packages/bench/src/proxied_read/bench_processes.ts
+++ b/packages/bench/src/proxied_read/bench_processes.ts
@@ -1,4 +1,4 @@
-/** The processes of the bench: platform, databases, one proxy, a generator. */
+/** Processes of the bench: platform, databases, one proxy, a load generator. */
 import {manifestCommit} from '@kelpstep/proxy';
 import {createHttpClient} from '@kelpstep/cli';
 import {callerRead} from '@kelpstep/protocol';
@@ -18,54 +18,56 @@
   LoadResult,
 } from './load_plan';
 
-/** Processes that run. */
+/** Running processes of the bench. */
 export interface BenchProcesses {
-  /** Callers' address of the proxy. */
+  /** Address of the proxy for callers. */
   readonly proxy: string;
   /** Addresses of the databases. */
   readonly databases: readonly string[];
   run(plan: LoadPlan): Promise<LoadResult>;
-  /** Opens idle connections to the proxy; gives how many stay open. */
-  holdIdle(connections: number): Promise<number>;
-  releaseIdle(): Promise<void>;
-  /** Resident memory of the proxy, megabytes of 10^6 bytes. */
-  proxyMemory(): number;
-  /** Processor time that the proxy took so far, milliseconds. */
+  /** Opens idle connections to the proxy; returns how many stay open. */
+  openIdleConnections(connections: number): Promise<number>;
+  closeIdleConnections(): Promise<void>;
+  /** Resident memory of the proxy in megabytes of 10^6 bytes. */
+  proxyMemoryMegabytes(): number;
+  /** Processor time that the proxy has used so far, in milliseconds. */
   proxyProcessorTime(): number;
   end(): Promise<void>;
 }
 
 export const GROUP = 'bench';
-const MEMBERS = ['bench-1', 'bench-2', 'bench-3'];
+const MEMBER_IDS = ['bench-1', 'bench-2', 'bench-3'];
 const DATA_CENTRE = 'here';
 const OPERATOR_TOKEN = 'token-of-the-bench';
-const ANY_PORT = '127.0.0.1:0';
-const TIMEOUT = 10_000;
-const LONGEST_WAIT = 30_000;
-const POLL_INTERVAL = 50;
-/** Slots and connections that never are what limits. */
-const PLENTY = 200;
+const ANY_PORT_ADDRESS = '127.0.0.1:0';
+const REQUEST_TIMEOUT_MS = 10_000;
+const STARTUP_TIMEOUT_MS = 30_000;
+const POLL_INTERVAL_MS = 50;
+/** High enough that slots and connections never limit the load. */
+const AMPLE_SLOT_COUNT = 200;
 const BYTES_PER_KIBIBYTE = 1024;
-/** Fields after the program's name in `/proc/PID/stat`. */
-const USER_TIME = 11;
-const SYSTEM_TIME = 12;
+/** Indexes among the fields after the program name in `/proc/PID/stat`. */
+const USER_TIME_FIELD = 11;
+const SYSTEM_TIME_FIELD = 12;
 const MILLISECONDS_PER_TICK = 10;
 const BYTES_PER_MEGABYTE = 1_000_000;
 
-async function until(
-  what: string,
-  observe: () => Promise<boolean>,
+async function waitUntil(
+  description: string,
+  condition: () => Promise<boolean>,
 ): Promise<void> {
-  const end = Date.now() + LONGEST_WAIT;
-  while (!(await observe())) {
+  const end = Date.now() + STARTUP_TIMEOUT_MS;
+  while (!(await condition())) {
     if (Date.now() > end) {
-      throw new Error(`Waited in vain for ${what}.`);
+      throw new Error(
+        `Timed out after ${STARTUP_TIMEOUT_MS} ms waiting for ${description}.`,
+      );
     }
-    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-function manifestOf(databases: readonly string[]): string {
+function createManifest(databases: readonly string[]): string {
   return JSON.stringify({
     format: 1,
     service: 'bench',
@@ -74,12 +76,12 @@
       {
         name: GROUP,
         readStaleness: 60_000,
-        members: MEMBERS.map((id, index) => ({
+        members: MEMBER_IDS.map((id, index) => ({
           id,
           dataCentre: DATA_CENTRE,
           address: databases[index],
-          slots: PLENTY,
-          connectionLimit: 2 * PLENTY,
+          slots: AMPLE_SLOT_COUNT,
+          connectionLimit: 2 * AMPLE_SLOT_COUNT,
         })),
       },
     ],
@@ -88,15 +90,15 @@
   });
 }
 
-async function listeningAddress(child: ChildProcess): Promise<string> {
+async function readListeningAddress(child: ChildProcess): Promise<string> {
   if (child.stdout === null) {
-    throw new Error('No output to read the address from.');
+    throw new Error('The process has no standard output to read its address.');
   }
   const [line] = await once(createInterface(child.stdout), 'line');
   return JSON.parse(String(line)).address;
 }
 
-async function awaitReport<R extends GeneratorReport['report']>(
+async function requestReport<R extends GeneratorReport['report']>(
   generator: ChildProcess,
   order: GeneratorOrder,
   kind: R,
@@ -105,12 +107,17 @@
   generator.send(order);
   const [report] = (await message) as [GeneratorReport];
   if (report.report !== kind) {
-    throw new Error(`Got ${report.report} in place of ${kind}.`);
+    throw new Error(
+      `Load generator reported "${report.report}", expected "${kind}".`,
+    );
   }
   return report as Extract<GeneratorReport, {report: R}>;
 }
 
-/** Starts all; `proxyFlags` go to the proxy's Node.js, as for profiles. */
+/**
+ * Builds and starts all processes. `proxyFlags` are passed to the Node.js of the
+ * proxy, for example to write a profile.
+ */
 export async function startBenchProcesses(
   proxyFlags: readonly string[] = [],
 ): Promise<BenchProcesses> {
@@ -125,7 +132,7 @@
     return child;
   }
 
-  /** The proxy ends by a signal that lets it write its profile. */
+  /** Stops the proxy with SIGTERM, so that Node.js can write a profile. */
   async function end(): Promise<void> {
     for (const child of children) {
       if (child.exitCode === null && child.signalCode === null) {
@@ -138,27 +145,34 @@
   }
 
   const programs = await buildPrograms(directory);
-  const any = ['--address', ANY_PORT];
-  const platform = await listeningAddress(
-    start([programs.standIn, 'platform', ...any]),
+  const addressOptions = ['--address', ANY_PORT_ADDRESS];
+  const platform = await readListeningAddress(
+    start([programs.standIn, 'platform', ...addressOptions]),
   );
-  const plenty = [
+  const capacityOptions = [
     '--slots',
-    `${PLENTY}`,
+    `${AMPLE_SLOT_COUNT}`,
     '--connection-limit',
-    `${2 * PLENTY}`,
+    `${2 * AMPLE_SLOT_COUNT}`,
   ];
   const databases = await Promise.all(
-    MEMBERS.map(id =>
-      listeningAddress(
-        start([programs.standIn, 'database', ...any, '--id', id, ...plenty]),
+    MEMBER_IDS.map(id =>
+      readListeningAddress(
+        start([
+          programs.standIn,
+          'database',
+          ...addressOptions,
+          '--id',
+          id,
+          ...capacityOptions,
+        ]),
       ),
     ),
   );
   const [callers = '', peers, operators = ''] = await freeAddresses(3);
-  const settings = join(directory, 'proxy.yaml');
+  const settingsFile = join(directory, 'proxy.yaml');
   writeFileSync(
-    settings,
+    settingsFile,
     JSON.stringify({
       format: 1,
       proxy: 'bench-proxy',
@@ -173,7 +187,7 @@
     programs.proxy,
     'proxy',
     '--settings',
-    settings,
+    settingsFile,
   ]);
   proxyChild.stdout?.resume();
   const generator = fork(programs.loadGenerator, {execArgv: []});
@@ -182,12 +196,15 @@
   const operatorClient = createHttpClient({
     address: operators,
     token: OPERATOR_TOKEN,
-    timeout: TIMEOUT,
+    timeout: REQUEST_TIMEOUT_MS,
+  });
+  const callerClient = createHttpClient({
+    address: callers,
+    timeout: REQUEST_TIMEOUT_MS,
   });
-  const callerClient = createHttpClient({address: callers, timeout: TIMEOUT});
-  await until('the manifest', async () => {
+  await waitUntil('the manifest commit', async () => {
     const committed = await operatorClient.request(manifestCommit, {
-      body: manifestOf(databases),
+      body: createManifest(databases),
       fileName: 'bench.yaml',
       expectedVersion: 0,
       commitId: 'bench-1',
@@ -195,7 +212,7 @@
     });
     return committed.ok;
   });
-  await until('a replica that serves', async () => {
+  await waitUntil('a replica to serve a read', async () => {
     const statement = {text: 'get ?', parameters: ['warm']};
     const answer = await callerClient.request(callerRead, {
       group: GROUP,
@@ -209,19 +226,19 @@
     proxy: callers,
     databases,
     run: async plan =>
-      (await awaitReport(generator, {order: 'run', plan}, 'result')).result,
-    holdIdle: async connections =>
+      (await requestReport(generator, {order: 'run', plan}, 'result')).result,
+    openIdleConnections: async connections =>
       (
-        await awaitReport(
+        await requestReport(
           generator,
           {order: 'hold', address: callers, connections},
           'held',
         )
       ).connections,
-    async releaseIdle() {
-      await awaitReport(generator, {order: 'release'}, 'released');
+    async closeIdleConnections() {
+      await requestReport(generator, {order: 'release'}, 'released');
     },
-    proxyMemory() {
+    proxyMemoryMegabytes() {
       const status = readFileSync(`/proc/${proxyChild.pid}/status`, 'utf8');
       const kibibytes = Number(/VmRSS:\s+(\d+)/.exec(status)?.[1]);
       return (kibibytes * BYTES_PER_KIBIBYTE) / BYTES_PER_MEGABYTE;
@@ -229,7 +246,8 @@
     proxyProcessorTime() {
       const stat = readFileSync(`/proc/${proxyChild.pid}/stat`, 'utf8');
       const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
-      const ticks = Number(fields[USER_TIME]) + Number(fields[SYSTEM_TIME]);
+      const ticks =
+        Number(fields[USER_TIME_FIELD]) + Number(fields[SYSTEM_TIME_FIELD]);
       return ticks * MILLISECONDS_PER_TICK;
     },
     end,
--- a/packages/bench/src/proxied_read/bundles.ts
+++ b/packages/bench/src/proxied_read/bundles.ts
@@ -1,19 +1,19 @@
 /**
- * Builds the programs that are measured as an operator's build does: a
- * development loader wraps every function, which costs more than the request.
+ * Bundles the measured programs like the production build. A development loader
+ * wraps every function, which costs more than handling a request.
  */
 import {basename, join} from 'node:path';
 
 import {bundleProgram} from '../../../../scripts/bundle';
 
-/** Programs as files that plain Node.js runs. */
-export interface Bundles {
+/** Paths of bundled programs that Node.js runs without a loader. */
+export interface ProgramFiles {
   readonly proxy: string;
   readonly standIn: string;
   readonly loadGenerator: string;
 }
 
-async function bundle(
+async function bundleFile(
   entry: string,
   directory: string,
   name: string,
@@ -23,13 +23,13 @@
   return outfile;
 }
 
-/** Builds all programs into a directory. */
-export async function buildPrograms(directory: string): Promise<Bundles> {
+/** Bundles all programs into a directory. */
+export async function buildPrograms(directory: string): Promise<ProgramFiles> {
   const generator = 'packages/bench/src/proxied_read/load_generator.ts';
   const [proxy, standIn, loadGenerator] = await Promise.all([
-    bundle('packages/cli/src/main.ts', directory, 'proxy'),
-    bundle('packages/stand-ins/src/main.ts', directory, 'stand-in'),
-    bundle(generator, directory, 'load-generator'),
+    bundleFile('packages/cli/src/main.ts', directory, 'proxy'),
+    bundleFile('packages/stand-ins/src/main.ts', directory, 'stand-in'),
+    bundleFile(generator, directory, 'load-generator'),
   ]);
   return {proxy, standIn, loadGenerator};
 }
--- a/packages/bench/src/proxied_read/load_connection.ts
+++ b/packages/bench/src/proxied_read/load_connection.ts
@@ -1,4 +1,4 @@
-/** A connection that carries one request at a time, as cheap as can be. */
+/** Minimal client connection with one request at a time, to keep load cheap. */
 import {parseAddress} from '@kelpstep/rpc';
 import {connect} from 'node:net';
 
@@ -14,20 +14,20 @@
 const HEAD_END = '\r\n\r\n';
 const CONTENT_LENGTH = /content-length: (\d+)/i;
 
-/** Cuts the first whole answer off; undefined if it is not all there. */
-type Cut = (
+/** Splits off the first answer; undefined while the answer is incomplete. */
+type ParseAnswer = (
   text: string,
 ) => {readonly body: string; readonly rest: string} | undefined;
 
-const cutLine: Cut = text => {
+const parseLine: ParseAnswer = text => {
   const end = text.indexOf('\n');
   return end < 0
     ? undefined
     : {body: text.slice(0, end), rest: text.slice(end + 1)};
 };
 
-/** Answers are plain ASCII here, so that characters are bytes. */
-const cutHttp: Cut = text => {
+/** Answers are ASCII here, so the content length is a count of characters. */
+const parseHttp: ParseAnswer = text => {
   const headEnd = text.indexOf(HEAD_END);
   if (headEnd < 0) {
     return undefined;
@@ -42,7 +42,11 @@
       };
 };
 
-function frame(protocol: Protocol, address: string, body: string): string {
+function frameRequest(
+  protocol: Protocol,
+  address: string,
+  body: string,
+): string {
   return protocol === 'lines'
     ? `${body}\n`
     : `POST /rpc HTTP/1.1\r\nhost: ${address}\r\n` +
@@ -50,38 +54,38 @@
         `content-length: ${Buffer.byteLength(body)}${HEAD_END}${body}`;
 }
 
-/** Opens a connection; rejects if it can't be had. */
+/** Opens a connection; rejects if connecting fails. */
 export function openLoadConnection(
   address: string,
   protocol: Protocol,
 ): Promise<LoadConnection> {
-  const cut = protocol === 'lines' ? cutLine : cutHttp;
+  const parseAnswer = protocol === 'lines' ? parseLine : parseHttp;
   const socket = connect(parseAddress(address));
-  let pending = '';
-  let waiting: ((body: string) => void) | undefined;
+  let buffer = '';
+  let pendingListener: ((body: string) => void) | undefined;
 
-  function answer(body: string): void {
-    const listener = waiting;
-    waiting = undefined;
+  function deliverAnswer(body: string): void {
+    const listener = pendingListener;
+    pendingListener = undefined;
     listener?.(body);
   }
 
   socket.setNoDelay(true);
   socket.setEncoding('latin1');
   socket.on('data', chunk => {
-    pending += String(chunk);
-    const parted = cut(pending);
-    if (parted !== undefined) {
-      pending = parted.rest;
-      answer(parted.body);
+    buffer += String(chunk);
+    const parsed = parseAnswer(buffer);
+    if (parsed !== undefined) {
+      buffer = parsed.rest;
+      deliverAnswer(parsed.body);
     }
   });
-  socket.on('close', () => answer('{"error":"connection closed"}'));
+  socket.on('close', () => deliverAnswer('{"error":"connection closed"}'));
 
   const connection: LoadConnection = {
     send(body, onAnswer) {
-      waiting = onAnswer;
-      socket.write(frame(protocol, address, body));
+      pendingListener = onAnswer;
+      socket.write(frameRequest(protocol, address, body));
     },
     close: () => socket.destroy(),
   };
--- a/packages/bench/src/proxied_read/load_plan.ts
+++ b/packages/bench/src/proxied_read/load_plan.ts
@@ -1,47 +1,47 @@
-/** What a load generator is told, and what it tells. */
+/** Messages between the bench and its load generator process. */
 
-/** How requests reach the other end. */
+/** Framing of JSON-RPC requests: HTTP POST or newline-delimited JSON. */
 export type Protocol = 'http' | 'lines';
 
-/** One phase of load. Durations are in milliseconds. */
+/** One load phase. Durations are in milliseconds. */
 export interface LoadPlan {
   /** `ip:port`. */
   readonly address: string;
   readonly protocol: Protocol;
   readonly connections: number;
-  /** Requests a second; without it each connection sends as it is answered. */
+  /** Requests per second; if absent, connections send upon each answer. */
   readonly rate?: number;
   readonly duration: number;
-  /** Load before the duration, not measured. */
+  /** Duration of unmeasured load before the measurement. */
   readonly warmUp: number;
   readonly method: string;
   readonly parameters: object;
-  /** Adds a key of its own to the parameters of each request. */
+  /** Whether each request gets an idempotency key of its own. */
   readonly keyed?: boolean;
 }
 
-/** Figures of one phase; latencies in milliseconds. */
+/** Results of one phase; latencies are in milliseconds. */
 export interface LoadResult {
   readonly answered: number;
   readonly failed: number;
-  /** The first failure as it came, if there was one. */
+  /** The first failed answer, unparsed. */
   readonly firstFailure: string | undefined;
-  /** Requests that were due while all connections were busy, at the end. */
+  /** Requests due by the end but not sent, as all connections were busy. */
   readonly unsent: number;
-  /** Requests sent, those of the warm-up included. */
+  /** Requests sent, including the warm-up. */
   readonly sent: number;
   readonly perSecond: number;
   readonly median: number;
   readonly p99: number;
   readonly longest: number;
-  /** Processor time of the generator, share of one core. */
+  /** Processor time of the generator as a share of one core. */
   readonly generatorLoad: number;
 }
 
-/** Orders to a load generator's process. */
+/** Orders to a load generator process. */
 export type GeneratorOrder =
   | {readonly order: 'run'; readonly plan: LoadPlan}
-  /** Opens connections that send nothing, and holds them. */
+  /** Opens idle connections and keeps them open until `release`. */
   | {
       readonly order: 'hold';
       readonly address: string;
@@ -49,7 +49,7 @@
     }
   | {readonly order: 'release'};
 
-/** What a generator answers to an order. */
+/** Reply of a load generator to an order. */
 export type GeneratorReport =
   | {readonly report: 'result'; readonly result: LoadResult}
   | {readonly report: 'held'; readonly connections: number}
--- a/packages/bench/src/proxied_read/proxied_read.ts
+++ b/packages/bench/src/proxied_read/proxied_read.ts
@@ -1,6 +1,6 @@
 /**
- * What one proxy adds to a read and how much it carries: the same load straight
- * to a database and through the proxy, side by side in one run.
+ * Measures the latency that a proxy adds and its throughput. Each run sends the
+ * same load directly to a database and through the proxy.
  */
 import {createHttpClient} from '@kelpstep/cli';
 import {callerRead, callerWrite, targetStatus} from '@kelpstep/protocol';
@@ -11,73 +11,79 @@
 import {BenchProcesses, GROUP, startBenchProcesses} from './bench_processes';
 import type {LoadPlan, LoadResult} from './load_plan';
 
-/** What a run is given. */
+/** Options of a bench run. */
 export interface ProxiedReadOptions {
   /** Length of each measured phase, milliseconds. */
   readonly duration: number;
-  /** Flags for the proxy's Node.js. */
+  /** Node.js flags of the proxy. */
   readonly proxyFlags: readonly string[];
-  /** Only phases whose load has this in its name. */
+  /** Runs only the phases whose load name contains this text. */
   readonly only: string;
-  /** Told of each row as it is there. */
+  /** Receives each row when its phase is complete. */
   onRow(row: Row): void;
 }
 
-type Aim = Pick<
+type RequestTemplate = Pick<
   LoadPlan,
   'address' | 'protocol' | 'method' | 'parameters' | 'keyed'
 >;
 
-const OPEN_LOOP_RATE = 2000;
+const OPEN_LOOP_RATE_PER_SECOND = 2000;
 const OPEN_LOOP_CONNECTIONS = 32;
 const CLOSED_LOOP_CONNECTIONS = 64;
 const CALLER_CONNECTIONS = 1000;
 const IDLE_CONNECTIONS = 10_000;
-const WARM_UP = 1000;
-const TIMEOUT = 5000;
-const MAXIMUM_AGE = 60_000;
-const MICROSECONDS = 1000;
-const MEMORY_RATE = 2000;
+const WARM_UP_MS = 1000;
+const REQUEST_TIMEOUT_MS = 5000;
+const MAXIMUM_AGE_MS = 60_000;
+const MICROSECONDS_PER_MILLISECOND = 1000;
+const MEMORY_RATE_PER_SECOND = 2000;
 
 const statement = {text: 'get ?', parameters: ['page']};
 const writeStatement = {text: 'set ? ?', parameters: ['page', 'text']};
 
-/** A session's token, so that reads must see its write. */
-async function writeOnce(proxy: string): Promise<string> {
-  const client = createHttpClient({address: proxy, timeout: TIMEOUT});
+/** Writes once and returns the session token, so that reads see the write. */
+async function createSessionToken(proxy: string): Promise<string> {
+  const client = createHttpClient({
+    address: proxy,
+    timeout: REQUEST_TIMEOUT_MS,
+  });
   const parameters = {group: GROUP, statement: writeStatement};
   return (await client.request(callerWrite, parameters)).unwrap().token;
 }
 
-async function servingReplica(proxy: string): Promise<string> {
-  const client = createHttpClient({address: proxy, timeout: TIMEOUT});
+async function findServingReplica(proxy: string): Promise<string> {
+  const client = createHttpClient({
+    address: proxy,
+    timeout: REQUEST_TIMEOUT_MS,
+  });
   const parameters = {group: GROUP, token: '', statement};
   const answer = await client.request(callerRead, parameters);
   return answer.unwrap().servedBy.target;
 }
 
-interface MemberState {
+interface MemberStatus {
   readonly address: string;
   readonly id: string;
   readonly isPrimary: boolean;
   readonly term: number;
 }
 
-async function askStatus(address: string): Promise<MemberState> {
+async function probeStatus(address: string): Promise<MemberStatus> {
   const dialled = await promiseFromFuture(
-    createTcpTransport().dial(address, TIMEOUT),
+    createTcpTransport().dial(address, REQUEST_TIMEOUT_MS),
   );
   const peer = createRpcPeer({
     connection: dialled.unwrap(),
     timer: createRealTimer(),
   });
-  const reply = peer.request(targetStatus, {}, TIMEOUT);
+  const reply = peer.request(targetStatus, {}, REQUEST_TIMEOUT_MS);
   const {target, role, term} = (await promiseFromFuture(reply)).unwrap();
   peer.close('asked');
   return {address, id: target, isPrimary: role === 'primary', term};
 }
 
-function rowOf(load: string, path: string, result: LoadResult): Row {
+function createRow(load: string, path: string, result: LoadResult): Row {
   const {answered, failed, unsent, perSecond} = result;
   const {median, p99, longest, generatorLoad} = result;
   return {
@@ -94,15 +100,15 @@
   };
 }
 
-async function createAims(processes: BenchProcesses) {
+async function createRequestTemplates(processes: BenchProcesses) {
   const {proxy} = processes;
-  const token = await writeOnce(proxy);
-  const replicaId = await servingReplica(proxy);
-  const members = await Promise.all(processes.databases.map(askStatus));
+  const token = await createSessionToken(proxy);
+  const replicaId = await findServingReplica(proxy);
+  const members = await Promise.all(processes.databases.map(probeStatus));
   const replica = members.find(({id}) => id === replicaId);
   const primary = members.find(({isPrimary}) => isPrimary);
   if (replica === undefined || primary === undefined) {
-    throw new Error('No replica or no primary to compare with.');
+    throw new Error('Found no primary or no serving replica for direct load.');
   }
   const direct = {protocol: 'lines', method: 'target.execute'} as const;
   const proxied = {address: proxy, protocol: 'http'} as const;
@@ -126,7 +132,7 @@
     },
     agedRead: {
       ...read,
-      parameters: {...view, token: '', maximumAge: MAXIMUM_AGE},
+      parameters: {...view, token: '', maximumAge: MAXIMUM_AGE_MS},
     },
     sessionRead: {...read, parameters: {...view, token}},
     barrierRead: {...read, parameters: view},
@@ -136,20 +142,20 @@
       parameters: {group: GROUP, kind: 'view', statement: writeStatement},
       keyed: true,
     },
-  } satisfies Record<string, Aim>;
+  } satisfies Record<string, RequestTemplate>;
 }
 
-async function warmUp(
+async function warmUpAll(
   {run}: BenchProcesses,
-  aims: Readonly<Record<string, Aim>>,
+  templates: Readonly<Record<string, RequestTemplate>>,
 ): Promise<void> {
-  for (const aim of Object.values(aims)) {
-    const pace = {connections: OPEN_LOOP_CONNECTIONS, warmUp: 0};
-    await run({...aim, ...pace, duration: WARM_UP});
+  for (const template of Object.values(templates)) {
+    const loadShape = {connections: OPEN_LOOP_CONNECTIONS, warmUp: 0};
+    await run({...template, ...loadShape, duration: WARM_UP_MS});
   }
 }
 
-/** Runs the bench; about a minute. */
+/** Runs the bench, which takes about a minute. */
 export async function runProxiedRead(
   options: ProxiedReadOptions,
 ): Promise<void> {
@@ -159,62 +165,97 @@
   async function measure(
     load: string,
     path: string,
-    aim: Aim,
-    pace: Pick<LoadPlan, 'connections' | 'rate'>,
+    template: RequestTemplate,
+    loadShape: Pick<LoadPlan, 'connections' | 'rate'>,
   ): Promise<void> {
     if (!load.includes(only)) {
       return;
     }
-    const plan = {...aim, ...pace, duration, warmUp: WARM_UP};
-    const before = processes.proxyProcessorTime();
+    const plan = {...template, ...loadShape, duration, warmUp: WARM_UP_MS};
+    const processorTimeBefore = processes.proxyProcessorTime();
     const result = await processes.run(plan);
-    const taken = processes.proxyProcessorTime() - before;
+    const processorTime = processes.proxyProcessorTime() - processorTimeBefore;
     if (result.firstFailure !== undefined) {
       process.stderr.write(`${load}: ${result.firstFailure}\n`);
     }
     onRow({
-      ...rowOf(load, path, result),
-      // Steadier than the rate on a machine that others use too.
+      ...createRow(load, path, result),
+      // Varies less than the rate on a shared machine.
       proxyMicroseconds:
-        path === 'proxy' ? (taken * MICROSECONDS) / result.sent : 0,
-      proxyMegabytes: processes.proxyMemory(),
+        path === 'proxy'
+          ? (processorTime * MICROSECONDS_PER_MILLISECOND) / result.sent
+          : 0,
+      proxyMegabytes: processes.proxyMemoryMegabytes(),
     });
   }
 
   try {
-    const aims = await createAims(processes);
+    const templates = await createRequestTemplates(processes);
     const measureMemory = (state: string) =>
       measure(
         `session read, ${CALLER_CONNECTIONS} connections, ${state}`,
         'proxy',
-        aims.sessionRead,
-        {connections: CALLER_CONNECTIONS, rate: MEMORY_RATE},
+        templates.sessionRead,
+        {connections: CALLER_CONNECTIONS, rate: MEMORY_RATE_PER_SECOND},
       );
     await measureMemory('fresh');
-    // So that no phase pays for code that was not compiled yet.
-    await warmUp(processes, aims);
-    const open = {connections: OPEN_LOOP_CONNECTIONS, rate: OPEN_LOOP_RATE};
-    const closed = {connections: CLOSED_LOOP_CONNECTIONS};
-    const openName = `${OPEN_LOOP_RATE}/s`;
-    await measure(`read ${openName}`, 'direct', aims.directRead, open);
-    await measure(`aged read ${openName}`, 'proxy', aims.agedRead, open);
-    await measure(`session read ${openName}`, 'proxy', aims.sessionRead, open);
-    await measure(`barrier read ${openName}`, 'proxy', aims.barrierRead, open);
-    await measure('read highest', 'direct', aims.directRead, closed);
-    await measure('aged read highest', 'proxy', aims.agedRead, closed);
-    await measure('session read highest', 'proxy', aims.sessionRead, closed);
-    await measure('barrier read highest', 'proxy', aims.barrierRead, closed);
-    await measure('write highest', 'direct', aims.directWrite, closed);
-    await measure('write highest', 'proxy', aims.write, closed);
+    // Keeps compilation out of the measured phases.
+    await warmUpAll(processes, templates);
+    const openLoop = {
+      connections: OPEN_LOOP_CONNECTIONS,
+      rate: OPEN_LOOP_RATE_PER_SECOND,
+    };
+    const closedLoop = {connections: CLOSED_LOOP_CONNECTIONS};
+    const openLoopName = `${OPEN_LOOP_RATE_PER_SECOND}/s`;
+    await measure(
+      `read ${openLoopName}`,
+      'direct',
+      templates.directRead,
+      openLoop,
+    );
+    await measure(
+      `aged read ${openLoopName}`,
+      'proxy',
+      templates.agedRead,
+      openLoop,
+    );
+    await measure(
+      `session read ${openLoopName}`,
+      'proxy',
+      templates.sessionRead,
+      openLoop,
+    );
+    await measure(
+      `barrier read ${openLoopName}`,
+      'proxy',
+      templates.barrierRead,
+      openLoop,
+    );
+    await measure('read highest', 'direct', templates.directRead, closedLoop);
+    await measure('aged read highest', 'proxy', templates.agedRead, closedLoop);
+    await measure(
+      'session read highest',
+      'proxy',
+      templates.sessionRead,
+      closedLoop,
+    );
+    await measure(
+      'barrier read highest',
+      'proxy',
+      templates.barrierRead,
+      closedLoop,
+    );
+    await measure('write highest', 'direct', templates.directWrite, closedLoop);
+    await measure('write highest', 'proxy', templates.write, closedLoop);
     await measureMemory('after load');
-    const idle = await processes.holdIdle(IDLE_CONNECTIONS);
+    const idle = await processes.openIdleConnections(IDLE_CONNECTIONS);
     await measure(
       `session read, ${idle} idle`,
       'proxy',
-      aims.sessionRead,
-      open,
+      templates.sessionRead,
+      openLoop,
     );
-    await processes.releaseIdle();
+    await processes.closeIdleConnections();
   } finally {
     await processes.end();
   }
--- a/packages/bench/src/proxied_read/run_load.ts
+++ b/packages/bench/src/proxied_read/run_load.ts
@@ -1,90 +1,94 @@
-/** One phase of load: open loop at a rate, or as fast as answers come. */
+/** Runs a load phase: open loop at a fixed rate, or closed loop. */
 import {build as createHistogram} from 'hdr-histogram-js';
 
 import {LoadConnection, openLoadConnection} from './load_connection';
 import type {LoadPlan, LoadResult} from './load_plan';
 
-const MICROSECONDS = 1000;
-const SECOND = 1000;
+const MICROSECONDS_PER_MILLISECOND = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 const SIGNIFICANT_DIGITS = 3;
-/** Answers that are still out at the end are waited for this long. */
-const GRACE = 1000;
+/** Time to wait for outstanding answers after the phase. */
+const COMPLETION_TIMEOUT_MS = 1000;
 
-/** Runs a phase and gives its figures. */
+/** Runs a phase and returns its results. */
 export async function runLoad(plan: LoadPlan): Promise<LoadResult> {
-  const idle = await Promise.all(
+  const idleConnections = await Promise.all(
     Array.from({length: plan.connections}, () =>
       openLoadConnection(plan.address, plan.protocol),
     ),
   );
-  const all = [...idle];
+  const connections = [...idleConnections];
   const histogram = createHistogram({
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
   const startedAt = performance.now();
-  const measuredFrom = startedAt + plan.warmUp;
-  const endsAt = measuredFrom + plan.duration;
+  const measurementStartsAt = startedAt + plan.warmUp;
+  const endsAt = measurementStartsAt + plan.duration;
   const processorTime = process.cpuUsage();
-  let due = 0;
+  let dueCount = 0;
   let sent = 0;
   let inFlight = 0;
   let failed = 0;
   let firstFailure: string | undefined;
 
-  function bodyOf(id: number): string {
+  function createBody(id: number): string {
     const key = {id: `${process.pid}-${startedAt}-${id}`, issuedAt: Date.now()};
     const params = plan.keyed ? {...plan.parameters, key} : plan.parameters;
     return JSON.stringify({jsonrpc: '2.0', id, method: plan.method, params});
   }
 
-  /** Latency counts from when the request was due, not from when it left. */
+  /** Measures latency from the due time, not from the time of sending. */
   function record(body: string, dueAt: number): void {
     const now = performance.now();
-    if (now < measuredFrom || now > endsAt) {
+    if (now < measurementStartsAt || now > endsAt) {
       return;
     }
     if (body.includes('"error"')) {
       failed += 1;
       firstFailure ??= body;
     } else {
-      histogram.recordValue(Math.round((now - dueAt) * MICROSECONDS));
+      histogram.recordValue(
+        Math.round((now - dueAt) * MICROSECONDS_PER_MILLISECOND),
+      );
     }
   }
 
   function send(connection: LoadConnection, dueAt: number): void {
     inFlight += 1;
     sent += 1;
-    connection.send(bodyOf(sent), body => {
+    connection.send(createBody(sent), body => {
       inFlight -= 1;
       record(body, dueAt);
-      idle.push(connection);
+      idleConnections.push(connection);
       if (plan.rate === undefined) {
-        sendAtOnce();
+        sendOnIdleConnections();
       }
     });
   }
 
-  function sendAtOnce(): void {
+  function sendOnIdleConnections(): void {
     const now = performance.now();
-    while (now < endsAt && idle.length > 0) {
-      send(idle.pop() as LoadConnection, now);
+    while (now < endsAt && idleConnections.length > 0) {
+      send(idleConnections.pop() as LoadConnection, now);
     }
   }
 
   function sendDue(rate: number): void {
     const now = performance.now();
-    due = Math.floor(((Math.min(now, endsAt) - startedAt) * rate) / SECOND);
-    while (sent < due && idle.length > 0) {
-      const dueAt = startedAt + ((sent + 1) * SECOND) / rate;
-      send(idle.pop() as LoadConnection, dueAt);
+    dueCount = Math.floor(
+      ((Math.min(now, endsAt) - startedAt) * rate) / MILLISECONDS_PER_SECOND,
+    );
+    while (sent < dueCount && idleConnections.length > 0) {
+      const dueAt = startedAt + ((sent + 1) * MILLISECONDS_PER_SECOND) / rate;
+      send(idleConnections.pop() as LoadConnection, dueAt);
     }
   }
 
-  /** Timers are too coarse for this: the loop turns without a pause. */
-  function pace(rate: number, onEnd: () => void): void {
+  /** Polls on every event loop turn, because timers are too coarse. */
+  function runOpenLoop(rate: number, onEnd: () => void): void {
     sendDue(rate);
     if (performance.now() < endsAt) {
-      setImmediate(pace, rate, onEnd);
+      setImmediate(runOpenLoop, rate, onEnd);
     } else {
       onEnd();
     }
@@ -92,29 +96,31 @@
 
   await new Promise<void>(resolve => {
     if (plan.rate === undefined) {
-      sendAtOnce();
+      sendOnIdleConnections();
       setTimeout(resolve, plan.warmUp + plan.duration);
     } else {
-      pace(plan.rate, resolve);
+      runOpenLoop(plan.rate, resolve);
     }
   });
   const {user, system} = process.cpuUsage(processorTime);
-  const graceEnd = performance.now() + GRACE;
-  while (inFlight > 0 && performance.now() < graceEnd) {
+  const completionEndsAt = performance.now() + COMPLETION_TIMEOUT_MS;
+  while (inFlight > 0 && performance.now() < completionEndsAt) {
     await new Promise(resolve => setTimeout(resolve, 1));
   }
-  all.forEach(connection => connection.close());
+  connections.forEach(connection => connection.close());
   const elapsed = plan.warmUp + plan.duration;
   return {
     answered: histogram.totalCount,
     failed,
     firstFailure,
     sent,
-    unsent: plan.rate === undefined ? 0 : due - sent,
-    perSecond: Math.round((histogram.totalCount * SECOND) / plan.duration),
-    median: histogram.getValueAtPercentile(50) / MICROSECONDS,
-    p99: histogram.getValueAtPercentile(99) / MICROSECONDS,
-    longest: histogram.maxValue / MICROSECONDS,
-    generatorLoad: (user + system) / MICROSECONDS / elapsed,
+    unsent: plan.rate === undefined ? 0 : dueCount - sent,
+    perSecond: Math.round(
+      (histogram.totalCount * MILLISECONDS_PER_SECOND) / plan.duration,
+    ),
+    median: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MILLISECOND,
+    p99: histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MILLISECOND,
+    longest: histogram.maxValue / MICROSECONDS_PER_MILLISECOND,
+    generatorLoad: (user + system) / MICROSECONDS_PER_MILLISECOND / elapsed,
   };
 }
