--- a/packages/bench/__tests__/slopes/slopes.spec.ts
+++ b/packages/bench/__tests__/slopes/slopes.spec.ts
@@ -5,7 +5,7 @@
 import {fitLine} from '../../src/slopes/least_squares';
 import {measureMembership} from '../../src/slopes/membership_slope';
 import {formatSeries, seriesAsJsonLines} from '../../src/slopes/series';
-import {measureWatcher} from '../../src/slopes/watcher_slope';
+import {measureFailureDetector} from '../../src/slopes/failure_detector_slope';
 
 describe('slopes', () => {
   test('are fitted by least squares', () => {
@@ -31,9 +31,11 @@
       rank: 0,
       used: false,
       writesPerSecond: 0,
-      groupsOfManifest: 8,
+      manifestGroupCount: 8,
     };
-    const [one, two] = [1, 2].map(groups => measureWatcher({...load, groups}));
+    const [one, two] = [1, 2].map(groups =>
+      measureFailureDetector({...load, groups}),
+    );
     expect((one?.values.receivedMessages ?? 0) > 0).toEqual(true);
     expect(two?.values.receivedMessages).toEqual(
       2 * (one?.values.receivedMessages ?? NaN),
@@ -41,7 +43,10 @@
   });
 
   test('count both ends of exchanges between proxies', () => {
-    const {values} = measureMembership({proxies: 4, newsPerSecond: 0});
+    const {values} = measureMembership({
+      proxies: 4,
+      leadershipChangesPerSecond: 0,
+    });
     expect(values.completeViews).toEqual(1);
     const {sentBytes = 0, receivedBytes = 0} = values;
     expect(sentBytes).toBeCloseTo(receivedBytes, 100);
--- a/packages/bench/src/slopes/audit_slope.ts
+++ b/packages/bench/src/slopes/audit_slope.ts
@@ -1,4 +1,4 @@
-/** What the audit trail writes, by the rate of changes. */
+/** Measures what the audit trail writes at different rates of changes. */
 import {createAuditTrail} from '@kelpstep/observability';
 import type {PlatformClient} from '@kelpstep/platform';
 import {
@@ -14,15 +14,15 @@
 import {processorTime} from './meter';
 import type {Point, Series} from './series';
 
-const MEASURED_TIME = 60_000;
+const MEASUREMENT_TIME_MS = 60_000;
 
-/** Records changes at a steady rate through one proxy. */
+/** Records changes at a constant rate in the audit trail of one proxy. */
 export function measureAudit(changesPerMinute: number): Point {
   const timer = createVirtualTimer();
   const platform = createPlatform(timer);
   const client = createInProcessPlatformClient({platform, timer});
   let rowBytes = 0;
-  const counting: PlatformClient = {
+  const countingPlatform: PlatformClient = {
     ...client,
     writeRow(table, key, expectedVersion, value) {
       rowBytes += Buffer.byteLength(key + JSON.stringify(value));
@@ -30,12 +30,12 @@
     },
   };
   const audit = createAuditTrail({
-    platform: counting,
+    platform: countingPlatform,
     runtime: createRuntime({timer, random: createRandom(1)}),
     proxy: 'proxy-1234',
     incarnation: '0123456789abcdef',
   });
-  const before = processorTime();
+  const processorTimeBefore = processorTime();
   timer.every(60_000 / changesPerMinute, () =>
     audit.record({
       who: 'failover',
@@ -45,27 +45,27 @@
       outcome: 'primary_lost',
     }),
   );
-  timer.advance(MEASURED_TIME);
+  timer.advance(MEASUREMENT_TIME_MS);
   return {
     size: changesPerMinute,
     values: {
       rowsWritten: platform.calls().writeRow,
       rowBytes,
-      processorMilliseconds: processorTime() - before,
+      processorMilliseconds: processorTime() - processorTimeBefore,
       dropped: audit.dropped(),
     },
   };
 }
 
-const RATES = [1, 6, 60, 600];
+const CHANGE_RATES_PER_MINUTE = [1, 6, 60, 600];
 
-/** The series of the audit trail: totals of a minute. */
-export function measureAuditTrail(): Series[] {
+/** Measures the audit trail series: totals of one minute. */
+export function measureAuditSeries(): Series[] {
   return [
     {
       role: 'audit, totals of a minute',
       variable: 'changes/min',
-      points: RATES.map(measureAudit),
+      points: CHANGE_RATES_PER_MINUTE.map(measureAudit),
     },
   ];
 }
--- a/packages/bench/src/slopes/counting_transport.ts
+++ b/packages/bench/src/slopes/counting_transport.ts
@@ -1,29 +1,30 @@
-/** Counts what passes a transport, as the TCP transport would frame it. */
+/** Counts the traffic of a transport as the TCP transport would frame it. */
 import type {Connection, Transport} from '@kelpstep/rpc';
 import {mapFuture} from '@kelpstep/runtime';
 
-/** What passed since the counts were last set to 0. */
+/** Traffic since the counts were last reset. */
 export interface Traffic {
   sentMessages: number;
   receivedMessages: number;
-  /** JSON text and line end: TCP's payload, without headers. */
+  /** JSON text and line end, which is the TCP payload without headers. */
   sentBytes: number;
   receivedBytes: number;
 }
 
-/** Traffic without anything. */
 export function createTraffic(): Traffic {
   return {sentMessages: 0, receivedMessages: 0, sentBytes: 0, receivedBytes: 0};
 }
 
-/** Sets the counts to 0. */
 export function resetTraffic(traffic: Traffic): void {
   Object.assign(traffic, createTraffic());
 }
 
 const LINE_END_BYTES = 1;
 
-function countConnection(connection: Connection, traffic: Traffic): Connection {
+function createCountingConnection(
+  connection: Connection,
+  traffic: Traffic,
+): Connection {
   return {
     ...connection,
     send(message) {
@@ -38,7 +39,7 @@
           const text = JSON.stringify(message);
           traffic.receivedMessages++;
           traffic.receivedBytes += Buffer.byteLength(text) + LINE_END_BYTES;
-          // The fake network passes objects; a daemon would parse the text.
+          // The fake network passes objects; a real proxy parses the text.
           onMessage(JSON.parse(text));
         },
         onClose,
@@ -47,19 +48,21 @@
   };
 }
 
-/** A transport whose connections, dialled or accepted, are counted. */
-export function countTransport(
+/** Wraps a transport to count its outgoing and incoming connections' traffic. */
+export function createCountingTransport(
   transport: Transport,
   traffic: Traffic,
 ): Transport {
   return {
     dial: (address, timeout) =>
       mapFuture(transport.dial(address, timeout), dialled =>
-        dialled.map(connection => countConnection(connection, traffic)),
+        dialled.map(connection =>
+          createCountingConnection(connection, traffic),
+        ),
       ),
     listen: (address, accept) =>
       transport.listen(address, connection =>
-        accept(countConnection(connection, traffic)),
+        accept(createCountingConnection(connection, traffic)),
       ),
   };
 }
--- a/packages/bench/src/slopes/main.ts
+++ b/packages/bench/src/slopes/main.ts
@@ -1,23 +1,23 @@
 /**
- * `npm run measure-slopes [-- PART...]`: what each role of a proxy costs as its
- * work grows, in virtual time with small stand-ins. Text to standard output,
- * then JSON lines.
+ * `npm run measure-slopes [-- PART...]` measures how the cost of each role of a
+ * proxy grows with its load, in virtual time with small stand-ins. It prints text
+ * tables to standard output, then JSON lines.
  */
-import {measureAuditTrail} from './audit_slope';
-import {measureManifests} from './manifest_slope';
-import {measureMemberships} from './membership_slope';
-import {measurePromoter} from './promotion_slope';
-import {measureRanking} from './rank_slope';
+import {measureAuditSeries} from './audit_slope';
+import {measureManifestSeries} from './manifest_slope';
+import {measureMembershipSeries} from './membership_slope';
+import {measurePromotionSeries} from './promotion_slope';
+import {measureRankSeries} from './rank_slope';
 import {Series, formatSeries, seriesAsJsonLines} from './series';
-import {measureWatchers} from './watcher_slope';
+import {measureFailureDetectorSeries} from './failure_detector_slope';
 
 const PARTS: Readonly<Record<string, () => Series[]>> = {
-  watcher: measureWatchers,
-  promoter: measurePromoter,
-  manifest: measureManifests,
-  audit: measureAuditTrail,
-  rank: measureRanking,
-  membership: measureMemberships,
+  watcher: measureFailureDetectorSeries,
+  promoter: measurePromotionSeries,
+  manifest: measureManifestSeries,
+  audit: measureAuditSeries,
+  rank: measureRankSeries,
+  membership: measureMembershipSeries,
 };
 
 function main(names: readonly string[]): void {
@@ -25,7 +25,7 @@
   const unknown = chosen.filter(name => PARTS[name] === undefined);
   if (unknown.length > 0) {
     console.error(
-      `Unknown: ${unknown.join(', ')}. Parts: ${Object.keys(PARTS).join(', ')}.`,
+      `Unknown parts: ${unknown.join(', ')}. Available parts: ${Object.keys(PARTS).join(', ')}.`,
     );
     process.exitCode = 2;
     return;
--- a/packages/bench/src/slopes/manifest_slope.ts
+++ b/packages/bench/src/slopes/manifest_slope.ts
@@ -1,4 +1,4 @@
-/** What manifests cost poller and relay, by their size. */
+/** Measures the cost of manifests for the poller and for the relay, by size. */
 import {
   createManifestKeeper,
   inspectManifest,
@@ -20,19 +20,19 @@
 } from '@kelpstep/stand-ins';
 import {Err} from 'ts-results';
 
-import {processorTime, usedHeap} from './meter';
-import {Point, Series, measureWarm} from './series';
+import {processorTime, usedHeapBytes} from './meter';
+import {Point, Series, measureAfterWarmUp} from './series';
 
-const READ_STALENESS = 1000;
-const REPETITIONS = 5;
-const POLLED_TIME = 60_000;
+const READ_STALENESS_MS = 1000;
+const PARSE_COUNT = 5;
+const POLLING_TIME_MS = 60_000;
 
-/** Taking a manifest of so many groups: reading, checking, using it. */
+/** Measures parsing, validating and applying a manifest of a number of groups. */
 export function measureManifest(groups: number): Point {
   const body = manifestText(
     DEPLOYMENTS.utility,
     groups,
-    READ_STALENESS,
+    READ_STALENESS_MS,
     new Set(),
   );
   const timer = createVirtualTimer();
@@ -46,22 +46,22 @@
     watchRank: () => undefined,
     isLeaving: () => false,
   });
-  const heapBefore = usedHeap();
-  const before = processorTime();
+  const heapBefore = usedHeapBytes();
+  const parseStartedAt = processorTime();
   let manifest = inspectManifest(body, 'manifest.yaml').manifest;
-  for (let repetition = 1; repetition < REPETITIONS; repetition++) {
+  for (let repetition = 1; repetition < PARSE_COUNT; repetition++) {
     manifest = inspectManifest(body, 'manifest.yaml').manifest;
   }
-  const parsing = (processorTime() - before) / REPETITIONS;
-  const digestAt = processorTime();
+  const parseTime = (processorTime() - parseStartedAt) / PARSE_COUNT;
+  const digestStartedAt = processorTime();
   manifestDigest(body);
-  const digesting = processorTime() - digestAt;
-  const manifestHeap = usedHeap() - heapBefore;
-  const updateAt = processorTime();
+  const digestTime = processorTime() - digestStartedAt;
+  const manifestHeap = usedHeapBytes() - heapBefore;
+  const updateStartedAt = processorTime();
   directory.updateManifest(manifest?.groups ?? []);
   timer.advance(1000);
-  const updating = processorTime() - updateAt;
-  const viewHeap = usedHeap() - heapBefore - manifestHeap;
+  const updateTime = processorTime() - updateStartedAt;
+  const viewHeap = usedHeapBytes() - heapBefore - manifestHeap;
   const groupsTaken = manifest?.groups.length ?? 0;
   directory.close();
   return {
@@ -69,9 +69,9 @@
     values: {
       bodyBytes: Buffer.byteLength(body),
       answerBytes: Buffer.byteLength(JSON.stringify({body})),
-      parseMilliseconds: parsing,
-      digestMilliseconds: digesting,
-      takeMilliseconds: updating,
+      parseMilliseconds: parseTime,
+      digestMilliseconds: digestTime,
+      takeMilliseconds: updateTime,
       manifestHeap,
       viewHeap,
       groupsTaken,
@@ -79,12 +79,12 @@
   };
 }
 
-/** A poller that finds no new version, or a new one so often. */
+/** Measures a poller that finds new manifest versions at a given rate. */
 export function measurePoller(versionsPerMinute: number): Point {
   const timer = createVirtualTimer();
   const platform = createPlatform(timer);
   const runtime = createRuntime({timer, random: createRandom(1)});
-  const keeper = createManifestKeeper({
+  const synchronizer = createManifestKeeper({
     runtime,
     platform: createInProcessPlatformClient({platform, timer}),
     polls: () => true,
@@ -96,7 +96,7 @@
     const body = manifestText(
       DEPLOYMENTS.utility,
       3,
-      READ_STALENESS + version,
+      READ_STALENESS_MS + version,
       new Set(),
     );
     const digest = manifestDigest(body);
@@ -108,43 +108,43 @@
     version++;
   }
   commit();
-  keeper.start();
+  synchronizer.start();
   timer.advance(5000);
-  const before = {...platform.calls()};
-  const startedAt = processorTime();
+  const callsBefore = {...platform.calls()};
+  const processorTimeBefore = processorTime();
   if (versionsPerMinute > 0) {
     timer.every(60_000 / versionsPerMinute, commit);
   }
-  timer.advance(POLLED_TIME);
-  const seconds = POLLED_TIME / 1000;
-  const after = platform.calls();
+  timer.advance(POLLING_TIME_MS);
+  const seconds = POLLING_TIME_MS / 1000;
+  const callsAfter = platform.calls();
   return {
     size: versionsPerMinute,
     values: {
-      rowReads: (after.readRow - before.readRow) / seconds,
-      objectReads: (after.getObject - before.getObject) / seconds,
-      processorMilliseconds: (processorTime() - startedAt) / seconds,
-      versionsTaken: keeper.version() - 1,
+      rowReads: (callsAfter.readRow - callsBefore.readRow) / seconds,
+      objectReads: (callsAfter.getObject - callsBefore.getObject) / seconds,
+      processorMilliseconds: (processorTime() - processorTimeBefore) / seconds,
+      versionsTaken: synchronizer.version() - 1,
     },
   };
 }
 
-/** The stand-in manifest has room for 254 groups. */
+/** The stand-in manifest supports at most 254 groups. */
 const GROUP_COUNTS = [3, 10, 30, 100, 250];
-const VERSION_RATES = [0, 6, 12];
+const VERSION_RATES_PER_MINUTE = [0, 6, 12];
 
-/** The series of manifests. */
-export function measureManifests(): Series[] {
+/** Measures the manifest series. */
+export function measureManifestSeries(): Series[] {
   return [
     {
       role: 'relay, per manifest taken',
       variable: 'groups',
-      points: measureWarm(GROUP_COUNTS, measureManifest),
+      points: measureAfterWarmUp(GROUP_COUNTS, measureManifest),
     },
     {
       role: 'poller, per second',
       variable: 'versions/min',
-      points: VERSION_RATES.map(measurePoller),
+      points: VERSION_RATES_PER_MINUTE.map(measurePoller),
     },
   ];
 }
--- a/packages/bench/src/slopes/membership_slope.ts
+++ b/packages/bench/src/slopes/membership_slope.ts
@@ -1,4 +1,7 @@
-/** What membership costs a proxy, by the number of proxies and by news. */
+/**
+ * Measures the cost of membership for a proxy, by the number of proxies and by
+ * the rate of leadership changes.
+ */
 import {
   RunningMembership,
   createIdempotentRequest,
@@ -18,30 +21,30 @@
 } from '@kelpstep/runtime';
 import {createFakeNetwork} from '@kelpstep/stand-ins';
 
-import {countTransport, createTraffic} from './counting_transport';
-import {Cost, measureStretch, usedHeap} from './meter';
-import {Point, Series, measureWarm} from './series';
+import {createCountingTransport, createTraffic} from './counting_transport';
+import {Cost, measureCost, usedHeapBytes} from './meter';
+import {Point, Series, measureAfterWarmUp} from './series';
 
-/** Size and news of a run. */
+/** Load of a membership run. */
 export interface MembershipLoad {
   readonly proxies: number;
-  /** Changes of leadership per second, in the whole system. */
-  readonly newsPerSecond: number;
-  /** The pace is that of at least so many proxies. */
-  readonly paceOf?: number;
+  /** Changes of leadership per second in the whole cluster. */
+  readonly leadershipChangesPerSecond: number;
+  /** Minimum number of proxies that the gossip timing is computed for. */
+  readonly timingProxyCount?: number;
 }
 
-const DATA_CENTRES = 3;
-const SEEDS = 2;
+const DATA_CENTRE_COUNT = 3;
+const SEED_PROXY_COUNT = 2;
 const PEER_PORT = 7002;
-const EXCHANGE_TIMEOUT = 300;
-const SETTLING_TIME = 60_000;
-const MEASURED_TIME = 30_000;
-const LATENCY = 6;
-const SEED = 5;
+const EXCHANGE_TIMEOUT_MS = 300;
+const SETTLING_TIME_MS = 60_000;
+const MEASUREMENT_TIME_MS = 30_000;
+const LATENCY_MS = 6;
+const RANDOM_SEED = 5;
 
 function hostOf(index: number): string {
-  return `10.${index % DATA_CENTRES}.${Math.floor(index / 250)}.${(index % 250) + 1}`;
+  return `10.${index % DATA_CENTRE_COUNT}.${Math.floor(index / 250)}.${(index % 250) + 1}`;
 }
 
 function perProxy(cost: Cost, proxies: number): Record<string, number> {
@@ -50,18 +53,18 @@
   );
 }
 
-/** Runs one size in virtual time; values are means over the proxies. */
+/** Runs one load in virtual time; values are means over the proxies. */
 export function measureMembership(load: MembershipLoad): Point {
-  const {proxies, newsPerSecond, paceOf = 0} = load;
+  const {proxies, leadershipChangesPerSecond, timingProxyCount = 0} = load;
   const timer = createVirtualTimer();
-  const random = createRandom(SEED);
+  const random = createRandom(RANDOM_SEED);
   const traffic = createTraffic();
   const network = createFakeNetwork({
     timer,
     random: random.split(),
-    latency: () => LATENCY,
+    latency: () => LATENCY_MS,
   });
-  const heapBefore = usedHeap();
+  const heapBefore = usedHeapBytes();
   const memberships = Array.from({length: proxies}, (unusedItem, index) =>
     startProxy(index),
   );
@@ -72,9 +75,12 @@
       timer: network.timerFor(host),
       random: random.split(),
     });
-    const transport = countTransport(network.transportFor(host), traffic);
+    const transport = createCountingTransport(
+      network.transportFor(host),
+      traffic,
+    );
     const links = createPeerLinks({transport, timer: runtime.timer});
-    const ask = createIdempotentRequest(runtime, links.request);
+    const sendRequest = createIdempotentRequest(runtime, links.request);
     const terms = new Map<string, number>();
     const address = `${host}:${PEER_PORT}`;
     const membership = createMembership({
@@ -82,28 +88,28 @@
       self: {
         proxy: `proxy-${index + 1}`,
         incarnation: random.hexadecimal(16),
-        dataCentre: `centre-${index % DATA_CENTRES}`,
+        dataCentre: `centre-${index % DATA_CENTRE_COUNT}`,
         address,
       },
       seeds: Array.from(
-        {length: SEEDS},
+        {length: SEED_PROXY_COUNT},
         (unusedItem, seed) => `${hostOf(seed)}:${PEER_PORT}`,
       ),
       pacePolicy: (count, base) =>
-        proportionalPace(Math.max(count, paceOf), base),
+        proportionalPace(Math.max(count, timingProxyCount), base),
       exchange: createShortExchange({
         runtime,
-        ask,
-        timeout: EXCHANGE_TIMEOUT,
+        ask: sendRequest,
+        timeout: EXCHANGE_TIMEOUT_MS,
       }),
       hooks: {
         ready: () => true,
         manifestVersion: () => 1,
         heardManifest: () => {},
         heardLeadership({group, term}) {
-          const isNews = term > (terms.get(group) ?? 0);
+          const isNewer = term > (terms.get(group) ?? 0);
           terms.set(group, Math.max(term, terms.get(group) ?? 0));
-          return isNews;
+          return isNewer;
         },
       },
     });
@@ -116,10 +122,10 @@
     return membership;
   }
 
-  timer.advance(SETTLING_TIME);
-  if (newsPerSecond > 0) {
+  timer.advance(SETTLING_TIME_MS);
+  if (leadershipChangesPerSecond > 0) {
     let term = 0;
-    timer.every(1000 / newsPerSecond, () =>
+    timer.every(1000 / leadershipChangesPerSecond, () =>
       random.pick(memberships).announceLeadership({
         group: 'logbook-1',
         term: ++term * 65_536,
@@ -127,52 +133,60 @@
       }),
     );
   }
-  const cost = measureStretch(timer, traffic, MEASURED_TIME);
-  const known = memberships.filter(
+  const cost = measureCost(timer, traffic, MEASUREMENT_TIME_MS);
+  const complete = memberships.filter(
     membership => membership.liveProxies().length === proxies,
   );
-  const heapBytes = (usedHeap() - heapBefore) / proxies;
+  const heapBytes = (usedHeapBytes() - heapBefore) / proxies;
   return {
     size: proxies,
     values: {
       ...perProxy(cost, proxies),
       heapBytes,
-      completeViews: known.length / proxies,
+      completeViews: complete.length / proxies,
     },
   };
 }
 
 const PROXY_COUNTS = [2, 8, 16, 32, 64, 128, 256];
-/** From so many proxies on the interval no longer grows. */
-const LONGEST_PACE = 480;
-const COUNTS_AT_LONGEST_PACE = [32, 64, 128, 256];
-const NEWS_RATES = [0, 0.1, 0.2, 0.5];
-const PROXIES_OF_NEWS = 128;
+/** The gossip interval does not grow beyond this number of proxies. */
+const SLOWEST_TIMING_PROXY_COUNT = 480;
+const PROXY_COUNTS_AT_SLOWEST_TIMING = [32, 64, 128, 256];
+const LEADERSHIP_CHANGES_PER_SECOND = [0, 0.1, 0.2, 0.5];
+const LEADERSHIP_CHANGE_PROXY_COUNT = 128;
 
-/** The series of membership. */
-export function measureMemberships(): Series[] {
-  const paceOf = LONGEST_PACE;
+/** Measures the membership series. */
+export function measureMembershipSeries(): Series[] {
+  const timingProxyCount = SLOWEST_TIMING_PROXY_COUNT;
   return [
     {
       role: 'membership',
       variable: 'proxies',
-      points: measureWarm(PROXY_COUNTS, proxies =>
-        measureMembership({proxies, newsPerSecond: 0}),
+      points: measureAfterWarmUp(PROXY_COUNTS, proxies =>
+        measureMembership({proxies, leadershipChangesPerSecond: 0}),
       ),
     },
     {
-      role: `membership at the pace of ${LONGEST_PACE} proxies`,
+      role: `membership at the pace of ${SLOWEST_TIMING_PROXY_COUNT} proxies`,
       variable: 'proxies',
-      points: measureWarm(COUNTS_AT_LONGEST_PACE, proxies =>
-        measureMembership({proxies, newsPerSecond: 0, paceOf}),
+      points: measureAfterWarmUp(PROXY_COUNTS_AT_SLOWEST_TIMING, proxies =>
+        measureMembership({
+          proxies,
+          leadershipChangesPerSecond: 0,
+          timingProxyCount,
+        }),
       ),
     },
     {
-      role: `membership of ${PROXIES_OF_NEWS} proxies at that pace, with news`,
+      role: `membership of ${LEADERSHIP_CHANGE_PROXY_COUNT} proxies at that pace, with news`,
       variable: 'news/s',
-      points: NEWS_RATES.map(newsPerSecond => ({
-        ...measureMembership({proxies: PROXIES_OF_NEWS, newsPerSecond, paceOf}),
-        size: newsPerSecond,
+      points: LEADERSHIP_CHANGES_PER_SECOND.map(leadershipChangesPerSecond => ({
+        ...measureMembership({
+          proxies: LEADERSHIP_CHANGE_PROXY_COUNT,
+          leadershipChangesPerSecond,
+          timingProxyCount,
+        }),
+        size: leadershipChangesPerSecond,
       })),
     },
   ];
--- a/packages/bench/src/slopes/meter.ts
+++ b/packages/bench/src/slopes/meter.ts
@@ -1,27 +1,27 @@
-/** Measures a stretch of virtual time: traffic, processor time, heap. */
+/** Measures traffic, processor time and heap over a period of virtual time. */
 import type {Milliseconds, VirtualTimer} from '@kelpstep/runtime';
 
 import {Traffic, resetTraffic} from './counting_transport';
 
-/** What a role costs per second of its own time. */
+/** Cost of a role per second of virtual time. */
 export interface Cost {
   readonly sentMessages: number;
   readonly receivedMessages: number;
   readonly sentBytes: number;
   readonly receivedBytes: number;
   /**
-   * Processor time in milliseconds per second of virtual time. Contains the
-   * stand-ins, the virtual network and the counting: a bound from above.
+   * Processor time in milliseconds per second of virtual time. It includes the
+   * stand-ins, the virtual network and the counting, so it is an upper bound.
    */
   readonly processorMilliseconds: number;
 }
 
-/** What an earlier run left may need more than one collection. */
-const COLLECTIONS = 3;
+/** One collection may not free all garbage of an earlier run. */
+const COLLECTION_COUNT = 3;
 
-/** Heap in bytes after collections, if node runs with --expose-gc. */
-export function usedHeap(): number {
-  for (let collection = 0; collection < COLLECTIONS; collection++) {
+/** Heap in bytes, after garbage collection if Node.js runs with --expose-gc. */
+export function usedHeapBytes(): number {
+  for (let collection = 0; collection < COLLECTION_COUNT; collection++) {
     globalThis.gc?.();
   }
   return process.memoryUsage().heapUsed;
@@ -33,22 +33,22 @@
   return (user + system) / 1000;
 }
 
-/** Lets virtual time pass and gives the cost per second. */
-export function measureStretch(
+/** Advances virtual time and returns the cost per second. */
+export function measureCost(
   timer: VirtualTimer,
   traffic: Traffic,
   duration: Milliseconds,
 ): Cost {
   resetTraffic(traffic);
-  const before = processorTime();
+  const processorTimeBefore = processorTime();
   timer.advance(duration);
-  const processor = processorTime() - before;
+  const usedProcessorTime = processorTime() - processorTimeBefore;
   const seconds = duration / 1000;
   return {
     sentMessages: traffic.sentMessages / seconds,
     receivedMessages: traffic.receivedMessages / seconds,
     sentBytes: traffic.sentBytes / seconds,
     receivedBytes: traffic.receivedBytes / seconds,
-    processorMilliseconds: processor / seconds,
+    processorMilliseconds: usedProcessorTime / seconds,
   };
 }
--- a/packages/bench/src/slopes/promotion_slope.ts
+++ b/packages/bench/src/slopes/promotion_slope.ts
@@ -1,4 +1,4 @@
-/** What changes of primary cost the watcher that promotes. */
+/** Measures what promotions cost the failure detector that performs them. */
 import {
   LeadershipChange,
   createGroupDirectory,
@@ -13,29 +13,29 @@
 import {createDatabase, createFakeNetwork} from '@kelpstep/stand-ins';
 
 import {
-  countTransport,
+  createCountingTransport,
   createTraffic,
   resetTraffic,
 } from './counting_transport';
 import {processorTime} from './meter';
-import {Point, Series, measureWarm} from './series';
+import {Point, Series, measureAfterWarmUp} from './series';
 
-const MEMBERS = [1, 2, 3];
+const MEMBER_NUMBERS = [1, 2, 3];
 const PROXY_HOST = '10.0.9.1';
 const PORT = 5432;
-const SETTLING_TIME = 20_000;
-const WINDOW = 5000;
+const SETTLING_TIME_MS = 20_000;
+const MEASUREMENT_TIME_MS = 5000;
 
 function memberHost(group: number, member: number): string {
   return `10.${member}.0.${group + 1}`;
 }
 
-function groupOf(index: number): Group {
+function createGroup(index: number): Group {
   const name = `logbook-${index + 1}`;
   return {
     name,
     readStaleness: 1000,
-    members: MEMBERS.map(member => ({
+    members: MEMBER_NUMBERS.map(member => ({
       id: `${name}-${member}`,
       dataCentre: `centre-${member}`,
       address: `${memberHost(index, member)}:${PORT}`,
@@ -46,8 +46,8 @@
   };
 }
 
-/** Kills the primaries of so many groups at once and takes what it cost. */
-export function measurePromotions(lost: number): Point {
+/** Kills the primaries of a number of groups at once and measures the cost. */
+export function measurePromotions(lostCount: number): Point {
   const timer = createVirtualTimer();
   const random = createRandom(7);
   const network = createFakeNetwork({
@@ -55,8 +55,9 @@
     random: random.split(),
     latency: () => 1,
   });
-  const groups = Array.from({length: Math.max(lost, 1)}, (unusedItem, index) =>
-    groupOf(index),
+  const groups = Array.from(
+    {length: Math.max(lostCount, 1)},
+    (unusedItem, index) => createGroup(index),
   );
   for (const {members} of groups) {
     for (const {id, address} of members) {
@@ -80,7 +81,10 @@
       timer: network.timerFor(PROXY_HOST),
       random: random.split(),
     }),
-    transport: countTransport(network.transportFor(PROXY_HOST), traffic),
+    transport: createCountingTransport(
+      network.transportFor(PROXY_HOST),
+      traffic,
+    ),
     promoterNumber: promoterNumberOf({proxy: PROXY_HOST, incarnation: '1'}),
     dataCentre: 'centre-1',
     watchRank: () => 0,
@@ -88,25 +92,25 @@
     onLeadershipChange: change => changes.push(change),
   });
   directory.updateManifest(groups);
-  timer.advance(SETTLING_TIME);
+  timer.advance(SETTLING_TIME_MS);
   changes.length = 0;
   resetTraffic(traffic);
-  const before = processorTime();
-  for (const {name, members} of groups.slice(0, lost)) {
+  const processorTimeBefore = processorTime();
+  for (const {name, members} of groups.slice(0, lostCount)) {
     const primary = directory.find(name)?.lastLeadership()?.primary;
     const address = members.find(({id}) => id === primary)?.address ?? '';
     network.killHost(address.slice(0, address.indexOf(':')));
   }
-  timer.advance(WINDOW);
+  timer.advance(MEASUREMENT_TIME_MS);
   directory.close();
   return {
-    size: lost,
+    size: lostCount,
     values: {
       sentMessages: traffic.sentMessages,
       receivedMessages: traffic.receivedMessages,
       sentBytes: traffic.sentBytes,
       receivedBytes: traffic.receivedBytes,
-      processorMilliseconds: processorTime() - before,
+      processorMilliseconds: processorTime() - processorTimeBefore,
       changes: changes.length,
       longestSinceHeard: Math.max(
         0,
@@ -116,15 +120,15 @@
   };
 }
 
-const LOST_COUNTS = [1, 4, 16];
+const LOST_PRIMARY_COUNTS = [1, 4, 16];
 
-/** The series of promotions: totals in the 5 s after the loss. */
-export function measurePromoter(): Series[] {
+/** Measures the promotion series: totals of the 5 s after the failures. */
+export function measurePromotionSeries(): Series[] {
   return [
     {
       role: 'promoter, totals of 5 s after the loss',
       variable: 'primaries lost',
-      points: measureWarm(LOST_COUNTS, measurePromotions),
+      points: measureAfterWarmUp(LOST_PRIMARY_COUNTS, measurePromotions),
     },
   ];
 }
--- a/packages/bench/src/slopes/rank_slope.ts
+++ b/packages/bench/src/slopes/rank_slope.ts
@@ -1,4 +1,4 @@
-/** What it costs a watcher to know its rank among many proxies. */
+/** Measures the cost of computing failure detector ranks among many proxies. */
 import {createMembership} from '@kelpstep/membership';
 import {PeerUpdate, peerExchange} from '@kelpstep/protocol';
 import {createResponsibilities} from '@kelpstep/proxy';
@@ -10,28 +10,28 @@
   createVirtualTimer,
 } from '@kelpstep/runtime';
 
-import {processorTime, usedHeap} from './meter';
-import {Point, Series, measureWarm} from './series';
+import {processorTime, usedHeapBytes} from './meter';
+import {Point, Series, measureAfterWarmUp} from './series';
 
-const DATA_CENTRES = 19;
-const GROUPS = 5667;
-const LOOKS = 20;
+const DATA_CENTRE_COUNT = 19;
+const GROUP_COUNT = 5667;
+const LOOKUP_COUNT = 20;
 
-function identityOf(index: number) {
+function createIdentity(index: number) {
   return {
     proxy: `proxy-${index}`,
     incarnation: `incarnation-${index}`,
-    dataCentre: `centre-${index % DATA_CENTRES}`,
-    address: `10.${index % DATA_CENTRES}.0.1:${1000 + index}`,
+    dataCentre: `centre-${index % DATA_CENTRE_COUNT}`,
+    address: `10.${index % DATA_CENTRE_COUNT}.0.1:${1000 + index}`,
   };
 }
 
-/** Finds the ranks for all groups, then again and again those it watches. */
+/** Computes the ranks of all groups, then repeats it for monitored groups. */
 export function measureRanks(proxies: number): Point {
   const timer = createVirtualTimer();
   const membership = createMembership({
     runtime: createRuntime({timer, random: createRandom(1)}),
-    self: identityOf(0),
+    self: createIdentity(0),
     seeds: [],
     exchange: () => createDeferred<never>().future,
     hooks: {
@@ -41,20 +41,20 @@
       heardLeadership: () => false,
     },
   });
-  const heapBefore = usedHeap();
+  const heapBefore = usedHeapBytes();
   const handlers = createHandlerTable();
   membership.serve(handlers);
   const updates: PeerUpdate[] = Array.from(
     {length: proxies - 1},
     (unusedItem, index) => ({
-      proxy: identityOf(index + 1),
+      proxy: createIdentity(index + 1),
       revision: 0,
       condition: 'alive',
       leaving: false,
     }),
   );
   const state = {
-    from: identityOf(1),
+    from: createIdentity(1),
     ready: true,
     manifestVersion: 1,
     leaderships: [],
@@ -64,41 +64,42 @@
   const unusedPeer = {} as RpcPeer;
   handlers.dispatch(peerExchange.name, state, unusedPeer);
   const responsibilities = createResponsibilities(membership);
-  const names = Array.from(
-    {length: GROUPS},
+  const groupNames = Array.from(
+    {length: GROUP_COUNT},
     (unusedItem, index) => `g-${index}`,
   );
-  const reviewAt = processorTime();
-  const watched = names.filter(
+  const reviewStartedAt = processorTime();
+  const monitoredGroups = groupNames.filter(
     name => responsibilities.watchRank(name) !== undefined,
   );
-  const review = processorTime() - reviewAt;
-  const looksAt = processorTime();
-  for (let look = 0; look < LOOKS; look++) {
-    watched.forEach(responsibilities.watchRank);
+  const reviewTime = processorTime() - reviewStartedAt;
+  const lookupsStartedAt = processorTime();
+  for (let lookup = 0; lookup < LOOKUP_COUNT; lookup++) {
+    monitoredGroups.forEach(responsibilities.watchRank);
   }
-  const looks = processorTime() - looksAt;
+  const lookupTime = processorTime() - lookupsStartedAt;
   return {
     size: proxies,
     values: {
       known: membership.liveProxies().length,
-      watchedGroups: watched.length,
-      reviewMilliseconds: review,
-      lookMicroseconds: (1000 * looks) / (LOOKS * watched.length),
-      heapBytes: usedHeap() - heapBefore,
+      watchedGroups: monitoredGroups.length,
+      reviewMilliseconds: reviewTime,
+      lookMicroseconds:
+        (1000 * lookupTime) / (LOOKUP_COUNT * monitoredGroups.length),
+      heapBytes: usedHeapBytes() - heapBefore,
     },
   };
 }
 
 const PROXY_COUNTS = [100, 300, 1000, 3100];
 
-/** The series of ranks: all groups of the target size. */
-export function measureRanking(): Series[] {
+/** Measures the rank series with the number of groups at the planned size. */
+export function measureRankSeries(): Series[] {
   return [
     {
-      role: `rank among proxies, ${GROUPS} groups`,
+      role: `rank among proxies, ${GROUP_COUNT} groups`,
       variable: 'proxies',
-      points: measureWarm(PROXY_COUNTS, measureRanks),
+      points: measureAfterWarmUp(PROXY_COUNTS, measureRanks),
     },
   ];
 }
--- a/packages/bench/src/slopes/series.ts
+++ b/packages/bench/src/slopes/series.ts
@@ -1,25 +1,25 @@
-/** Series of points and their lines, as text table and as JSON lines. */
+/** Series of measured points and fitted lines, as text tables and JSON lines. */
 import {fitLine} from './least_squares';
 
-/** Measured values by name, at one size. */
+/** Measured values by name at one size. */
 export interface Point {
   readonly size: number;
   readonly values: Readonly<Record<string, number>>;
 }
 
-/** Points of one role over a growing size. */
+/** Points of one role at increasing sizes. */
 export interface Series {
   readonly role: string;
-  /** What the size counts, for example `groups`. */
+  /** The quantity that the size counts, for example `groups`. */
   readonly variable: string;
   readonly points: readonly Point[];
 }
 
 /**
- * Measures each size after a run of the smallest that doesn't count: it warms
- * the compiler and frees what the series before has left.
+ * Measures each size after an unmeasured run of the smallest one, which warms up
+ * the compiler and frees the garbage of the previous series.
  */
-export function measureWarm(
+export function measureAfterWarmUp(
   sizes: readonly number[],
   measure: (size: number) => Point,
 ): Point[] {
@@ -37,13 +37,13 @@
   return value.toFixed(digits).padStart(COLUMN_WIDTH);
 }
 
-function namesOf({points}: Series): string[] {
+function valueNames({points}: Series): string[] {
   return Object.keys(points[0]?.values ?? {});
 }
 
-/** A line for each value that is measured. */
-export function linesOf(series: Series) {
-  return namesOf(series).map(name => ({
+/** Fits a line to each measured value. */
+export function fitLines(series: Series) {
+  return valueNames(series).map(name => ({
     name,
     ...fitLine(
       series.points.map(({size, values}) => [size, values[name] ?? NaN]),
@@ -51,9 +51,9 @@
   }));
 }
 
-/** The points, then slope, intercept and largest residual of each column. */
+/** Formats the points, then slope, intercept and residual of each column. */
 export function formatSeries(series: Series): string {
-  const lines = linesOf(series);
+  const lines = fitLines(series);
   const row = (head: string, cells: readonly string[]) =>
     [head.padEnd(COLUMN_WIDTH), ...cells].join(' ');
   return [
@@ -84,11 +84,11 @@
   ].join('\n');
 }
 
-/** A JSON line for each point and for each line. */
+/** Returns a JSON line for each point and for each fitted line. */
 export function seriesAsJsonLines(series: Series): string[] {
   const {role, variable} = series;
   return [
     ...series.points.map(point => JSON.stringify({role, variable, ...point})),
-    ...linesOf(series).map(line => JSON.stringify({role, variable, ...line})),
+    ...fitLines(series).map(line => JSON.stringify({role, variable, ...line})),
   ];
 }
--- a/packages/bench/src/slopes/stub_targets.ts
+++ b/packages/bench/src/slopes/stub_targets.ts
@@ -1,6 +1,6 @@
 /**
- * Targets that only tell their status, so that hundreds of groups fit in one
- * process. Each group has a primary and two replicas in a settled state.
+ * Targets that only report their status, so that hundreds of groups fit in one
+ * process. Each group has a primary and two replicas in a stable state.
  */
 import type {Group} from '@kelpstep/manifest';
 import {
@@ -18,13 +18,13 @@
 import {Milliseconds, TimerService, settledFuture} from '@kelpstep/runtime';
 import {Ok} from 'ts-results';
 
-/** What stub targets are made of. */
+/** Options of stub targets. */
 export interface StubTargetOptions {
   readonly transport: Transport;
   readonly timer: TimerService;
   readonly host: string;
   readonly groups: number;
-  /** Records that each group writes per second, one by one. */
+  /** Log records that each group appends per second, one at a time. */
   readonly writesPerSecond: number;
 }
 
@@ -32,9 +32,9 @@
 const FIRST_PORT = 1000;
 const FIRST_TERM = 65_536 + 4711;
 const SECOND_TERM = 2 * 65_536 + 815;
-const FIRST_END = 1_000_000;
+const INITIAL_END_POSITION = 1_000_000;
 
-/** Starts the targets of so many groups; gives the groups of the manifest. */
+/** Starts the targets of all groups; returns the groups for the manifest. */
 export function startStubTargets(options: StubTargetOptions): Group[] {
   return Array.from({length: options.groups}, (unusedItem, index) =>
     startGroup(options, index),
@@ -55,7 +55,7 @@
       connectionLimit: 55,
     }),
   );
-  const log = {end: FIRST_END};
+  const log = {end: INITIAL_END_POSITION};
   const subscribers = new Set<() => void>();
   if (writesPerSecond > 0) {
     timer.every(1000 / writesPerSecond, () => {
@@ -63,31 +63,31 @@
       subscribers.forEach(notify => notify());
     });
   }
-  members.forEach((member, number) => {
+  members.forEach((member, memberIndex) => {
     const status = () =>
-      statusOf(member.id, number, log.end, members[0]?.address);
+      createStatus(member.id, memberIndex, log.end, members[0]?.address);
     startTarget(options, member.address, status, subscribers);
   });
   return {name, readStaleness: 1000, members};
 }
 
-function statusOf(
+function createStatus(
   target: string,
-  number: number,
+  memberIndex: number,
   position: number,
   primary: string | undefined,
 ): TargetStatus {
   return {
     target,
     incarnation: '0123456789abcdef',
-    role: number === 0 ? 'primary' : 'replica',
+    role: memberIndex === 0 ? 'primary' : 'replica',
     term: SECOND_TERM,
     end: {term: SECOND_TERM, position},
     history: [
       {term: FIRST_TERM, firstPosition: 1},
       {term: SECOND_TERM, firstPosition: 900_000},
     ],
-    ...(number === 0 || primary === undefined
+    ...(memberIndex === 0 || primary === undefined
       ? {}
       : {following: primary, primarySilence: 37}),
     slots: 5,
