--- a/packages/bench/__tests__/compare_policies.spec.ts
+++ b/packages/bench/__tests__/compare_policies.spec.ts
@@ -13,17 +13,17 @@
     span: 2000,
   } as const;
 
-  test('gives the same figures for the same seed', () => {
+  test('produces the same metrics for the same seed', () => {
     const [first, second] = [1, 1].map(seed =>
       runPolicy(settings, 'default', seed),
     );
     expect(first).toEqual(second);
   });
 
-  test('serves again after its primary died', () => {
-    const figures = runPolicy(settings, 'default', 2);
-    expect(figures.worthBefore).toBeGreaterThan(0);
-    expect(figures.worthAfter).toBeGreaterThan(0);
-    expect(figures.writeGapMilliseconds).toBeLessThan(settings.span);
+  test('serves again after its primary was killed', () => {
+    const metrics = runPolicy(settings, 'default', 2);
+    expect(metrics.worthBefore).toBeGreaterThan(0);
+    expect(metrics.worthAfter).toBeGreaterThan(0);
+    expect(metrics.writeGapMilliseconds).toBeLessThan(settings.span);
   });
 });
--- a/packages/bench/__tests__/fault_metrics.spec.ts
+++ b/packages/bench/__tests__/fault_metrics.spec.ts
@@ -12,25 +12,25 @@
 ): LoadRequest {
   const kind = REQUEST_MIX.find(candidate => candidate.name === name);
   if (kind === undefined) {
-    throw new Error(`no kind ${name}`);
+    throw new Error(`unknown request kind ${name}`);
   }
   const role = kind.method === 'read' ? 'replica' : undefined;
   return {kind, arrivedAt, endedAt: arrivedAt, end, role, attempts: 1};
 }
 
-describe('figures of a load with a fault', () => {
+describe('metrics of a load with a fault', () => {
   const before = [0, 500].flatMap(time => [
     request('view', time),
     request('acknowledgement', time),
   ]);
 
-  function figures(...after: LoadRequest[]) {
+  function computeMetrics(...after: LoadRequest[]) {
     const requests = [...before, ...after];
     return computeFaultMetrics({requests, faultAt: SPAN, span: SPAN});
   }
 
-  test('count the worth of what was served in time, before and after', () => {
-    const {worthBefore, worthAfter, worthKept, servedShare} = figures(
+  test('sum the worth of requests served in time before and after it', () => {
+    const {worthBefore, worthAfter, worthKept, servedShare} = computeMetrics(
       request('view', 1100),
       request('acknowledgement', 1200, 'late'),
       request('acknowledgement', 1300),
@@ -41,8 +41,8 @@
     expect(Math.round(servedShare)).toEqual(51);
   });
 
-  test('give the longest time without a served write', () => {
-    const {writeGapMilliseconds} = figures(
+  test('report the longest time without a served write', () => {
+    const {writeGapMilliseconds} = computeMetrics(
       request('acknowledgement', 1100),
       request('acknowledgement', 1300, 'refused'),
       request('entry', 1900),
@@ -50,15 +50,15 @@
     expect(writeGapMilliseconds).toEqual(800);
   });
 
-  test('give the time until service stays normal', () => {
+  test('report the time until service stays normal', () => {
     const refused = request('acknowledgement', 1100, 'refused');
     const later = request('view', 1600);
-    expect(figures(refused, later).returnMilliseconds).toEqual(500);
-    expect(figures(later).returnMilliseconds).toEqual(0);
+    expect(computeMetrics(refused, later).returnMilliseconds).toEqual(500);
+    expect(computeMetrics(later).returnMilliseconds).toEqual(0);
   });
 
-  test('are summed up as minimum, median and maximum over seeds', () => {
-    const run = figures(request('view', 1100));
+  test('are summarized as minimum, median and maximum over seeds', () => {
+    const run = computeMetrics(request('view', 1100));
     const rows = summarize({policy: 'default'}, [
       {...run, lost: 4},
       {...run, lost: 1},
--- a/packages/bench/__tests__/report.spec.ts
+++ b/packages/bench/__tests__/report.spec.ts
@@ -9,7 +9,7 @@
     {load: 'write', perSecond: 12, median: 4},
   ];
 
-  test('a table has its columns named and its numbers right-aligned', () => {
+  test('a table has column names and right-aligned numbers', () => {
     expect(formatTable(rows).split('\n')).toEqual([
       'load   perSecond  median',
       'read        2000    0.12',
--- a/packages/bench/__tests__/slopes/slopes.spec.ts
+++ b/packages/bench/__tests__/slopes/slopes.spec.ts
@@ -17,7 +17,7 @@
     expect(line).toEqual({slope: 2, intercept: 1, largestResidual: 0});
   });
 
-  test('are given with their points, as text and as JSON lines', () => {
+  test('are formatted with their points as text and as JSON lines', () => {
     const points = [1, 2].map(size => ({size, values: {bytes: 10 * size}}));
     const series = {role: 'r', variable: 'groups', points};
     expect(formatSeries(series).split('\n').length).toEqual(8);
@@ -26,7 +26,7 @@
     expect(lines[2]?.slope).toEqual(10);
   });
 
-  test('count what watched groups cost both ways', () => {
+  test('count messages of monitored groups in proportion to the groups', () => {
     const load = {
       rank: 0,
       used: false,
@@ -42,7 +42,7 @@
     );
   });
 
-  test('count both ends of exchanges between proxies', () => {
+  test('count both ends of the exchanges between proxies', () => {
     const {values} = measureMembership({
       proxies: 4,
       leadershipChangesPerSecond: 0,
--- a/packages/bench/index.ts
+++ b/packages/bench/index.ts
@@ -1,4 +1,4 @@
-/** Benches: the hot path, and policies under load and faults. */
+/** Benchmarks of the request path and of policies under load and faults. */
 export * from './src/policies/compare_policies';
 export * from './src/policies/fault_metrics';
 export * from './src/policies/named_faults';
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,4 @@
-/** The bench's command line: `npm run bench -- --help`. */
+/** Command line of the bench: `npm run bench -- --help`. */
 import {STATEMENT_FAULTS} from '@kelpstep/scenarios';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
@@ -11,9 +11,9 @@
 import {simulateStatements} from './statements/simulate_statements';
 
 const EXIT_FAILURE = 1;
-const PHASE = 3000;
-const SERVICE_TIME = 10;
-const SPAN = 10_000;
+const DEFAULT_PHASE_MS = 3000;
+const DEFAULT_SERVICE_TIME_MS = 10;
+const SPAN_MS = 10_000;
 
 function print(rows: readonly Row[]): void {
   const text = `${formatTable(rows)}\n\n${formatJsonLines(rows)}\n`;
@@ -24,23 +24,23 @@
   .scriptName('bench')
   .command(
     'proxied-read',
-    'Reads and writes straight to a database and through one proxy.',
+    'Compares reads and writes sent directly to a database and through a proxy.',
     parser =>
       parser
         .option('duration', {
           type: 'number',
-          default: PHASE,
-          describe: 'length of each phase, milliseconds',
+          default: DEFAULT_PHASE_MS,
+          describe: 'duration of each phase, milliseconds',
         })
         .option('only', {
           type: 'string',
           default: '',
-          describe: 'only loads with this in their name',
+          describe: 'runs only loads whose name contains this text',
         })
         .option('proxy-flags', {
           type: 'string',
           default: '',
-          describe: "flags of the proxy's Node.js, such as --cpu-prof",
+          describe: 'Node.js flags of the proxy, such as --cpu-prof',
         }),
     async ({duration, only, proxyFlags}) => {
       const rows: Row[] = [];
@@ -55,7 +55,7 @@
   )
   .command(
     'statements',
-    'Statement sessions with faults, in virtual time; judged by every rule.',
+    'Simulates statement sessions with faults in virtual time; checks all rules.',
     parser =>
       parser
         .option('fault', {
@@ -77,7 +77,7 @@
   )
   .command(
     '$0',
-    'A deployment under load with a fault, in virtual time.',
+    'Compares policies in virtual time, for a deployment under load with a fault.',
     parser =>
       parser
         .option('deployment', {
@@ -88,7 +88,7 @@
           choices: POLICY_NAMES,
           array: true,
           default: ['default', 'first-come'] as const,
-          describe: 'policies to compare, side by side',
+          describe: 'policies to compare',
         })
         .option('fault', {choices: FAULT_NAMES, default: 'none' as const})
         .option('seed', {type: 'number', default: 1, describe: 'first seed'})
@@ -100,13 +100,13 @@
         .option('load', {
           type: 'number',
           default: 0.7,
-          describe: 'in multiples of what all slots carry',
+          describe: 'multiple of the capacity of all slots',
         })
         .option('proxies', {type: 'number', default: 7})
         .option('service-time', {
           type: 'number',
-          default: SERVICE_TIME,
-          describe: 'time of a statement in its slot, milliseconds',
+          default: DEFAULT_SERVICE_TIME_MS,
+          describe: 'time that a statement occupies its slot, milliseconds',
         }),
     ({policy: policies, seed, seeds, ...settings}) => {
       const {deployment, fault, load} = settings;
@@ -114,7 +114,7 @@
         summarize(
           {deployment, fault, load, policy},
           Array.from({length: seeds}, (unusedItem, index) =>
-            runPolicy({...settings, span: SPAN}, policy, seed + index),
+            runPolicy({...settings, span: SPAN_MS}, policy, seed + index),
           ),
         ),
       );
--- a/packages/bench/src/measure_main.ts
+++ b/packages/bench/src/measure_main.ts
@@ -1,4 +1,4 @@
-/** Measurements on separate processes: `npm run measure -- --help`. */
+/** Command line of measurements in real processes: `npm run measure -- --help`. */
 import type {DeploymentName} from '@kelpstep/scenarios';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
@@ -7,18 +7,18 @@
 import {measureFailover} from './failover_gap/measure_failover';
 
 const DEPLOYMENT_NAMES: readonly DeploymentName[] = ['office', 'utility'];
-const DEFAULT_RUNS = 20;
+const DEFAULT_RUN_COUNT = 20;
 
 async function runFailover(
   deployment: DeploymentName,
   runs: number,
 ): Promise<void> {
-  const figures = await measureFailover({
+  const sampleSets = await measureFailover({
     deployment,
     runs,
     onStep: step => process.stderr.write(`${deployment}: ${step}\n`),
   });
-  const summaries = figures.map(summarize);
+  const summaries = sampleSets.map(summarize);
   process.stdout.write(`${renderTable(summaries)}\n`);
   for (const summary of summaries) {
     process.stdout.write(`${JSON.stringify({deployment, ...summary})}\n`);
@@ -29,22 +29,23 @@
   .scriptName('measure')
   .command(
     'failover',
-    'Failover gaps and planned changes; milliseconds',
+    'Measures failover gaps and planned changes, in milliseconds',
     parser =>
       parser
         .option('deployment', {
           choices: DEPLOYMENT_NAMES,
           demandOption: true,
-          describe: 'Whose slots, connections and set-up time',
+          describe: 'Defines slots, connections and set-up time',
         })
         .option('runs', {
           type: 'number',
-          default: DEFAULT_RUNS,
-          describe: 'Losses and changes of each kind',
+          default: DEFAULT_RUN_COUNT,
+          describe:
+            'Number of primary failures and planned changes of each kind',
         }),
     ({deployment, runs}) => runFailover(deployment, runs),
   )
-  .demandCommand(1, 'Name a measurement.')
+  .demandCommand(1, 'Specify a measurement.')
   .strict()
   .help()
   .version(false)
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -1,21 +1,21 @@
-/** Results as a text table and as JSON lines. */
+/** Formats results as a text table and as JSON lines. */
 
-/** A row of figures by column name. */
+/** A result row: values by column name. */
 export type Row = Readonly<Record<string, string | number>>;
 
-function cell(value: string | number | undefined): string {
+function formatCell(value: string | number | undefined): string {
   if (typeof value !== 'number') {
     return value ?? '';
   }
   return Number.isInteger(value) ? String(value) : value.toFixed(2);
 }
 
-/** Rows under the names of their columns; numbers are right-aligned. */
+/** Formats a table with a header line; numbers are right-aligned. */
 export function formatTable(rows: readonly Row[]): string {
   const columns = [...new Set(rows.flatMap(row => Object.keys(row)))];
   const lines = [
     columns,
-    ...rows.map(row => columns.map(column => cell(row[column]))),
+    ...rows.map(row => columns.map(column => formatCell(row[column]))),
   ];
   const widths = columns.map((unusedName, index) =>
     Math.max(...lines.map(line => line[index]?.length ?? 0)),
@@ -34,7 +34,7 @@
     .join('\n');
 }
 
-/** A line of JSON for each row. */
+/** Formats each row as a line of JSON. */
 export function formatJsonLines(rows: readonly Row[]): string {
   return rows.map(row => JSON.stringify(row)).join('\n');
 }
--- a/packages/bench/src/slopes/failure_detector_slope.ts
+++ b/packages/bench/src/slopes/failure_detector_slope.ts
@@ -20,7 +20,7 @@
   /** Whether callers use the groups all the time. */
   readonly used: boolean;
   readonly writesPerSecond: number;
-  /** Assumed number of groups in the manifest; determines the probe interval. */
+  /** Simulated number of groups in the manifest; sets the probe interval. */
   readonly manifestGroupCount: number;
 }
 
