--- a/packages/stand-ins/src/database/catch_up.ts
+++ b/packages/stand-ins/src/database/catch_up.ts
@@ -1,36 +1,40 @@
 /**
- * Whether a database that started empty has caught up. Until then it may lack
- * records, and have forgotten fences, that it agreed to in an earlier life.
+ * Tracks whether a database that started empty has caught up with its primary.
+ * Until then it may lack records and fences that it acknowledged before its
+ * process restarted.
  */
 
-/** Progress of a database that started empty. */
+/** Catch-up progress of a database that started empty. */
 export interface CatchUp {
-  /** It follows a primary, perhaps another one than before. */
+  /** Restarts the progress when the database starts to follow a primary. */
   join(): void;
-  /** The end of the primary's log, as one of its answers told. */
+  /** Reports the end of the primary's log, as given in a replication answer. */
   observePrimaryEnd(position: number): void;
-  /** It became primary itself. */
-  lead(): void;
-  /** True until its log has reached where the primary's ended at the join. */
+  /** Ends the catch-up because the database became primary itself. */
+  becomePrimary(): void;
+  /**
+   * True until the database's log reaches the first end that the followed
+   * primary reported.
+   */
   isCatchingUp(position: number): boolean;
 }
 
-/** Creates the progress of a database that has just started. */
+/** Creates the catch-up progress of a database that has just started. */
 export function createCatchUp(): CatchUp {
   let isDone = false;
-  let goal: number | undefined;
+  let requiredPosition: number | undefined;
   return {
     join() {
-      goal = undefined;
+      requiredPosition = undefined;
     },
     observePrimaryEnd(position) {
-      goal ??= position;
+      requiredPosition ??= position;
     },
-    lead() {
+    becomePrimary() {
       isDone = true;
     },
     isCatchingUp(position) {
-      isDone ||= goal !== undefined && position >= goal;
+      isDone ||= requiredPosition !== undefined && position >= requiredPosition;
       return !isDone;
     },
   };
--- a/packages/stand-ins/src/database/connections.ts
+++ b/packages/stand-ins/src/database/connections.ts
@@ -1,4 +1,4 @@
-/** Admits connections up to the limit and puts JSON-RPC on them. */
+/** Accepts connections up to the limit and serves JSON-RPC on them. */
 import {createFailure, targetReplicate} from '@kelpstep/protocol';
 import {TimerService, settledFuture} from '@kelpstep/runtime';
 import {Connection, HandlerTable, RpcPeer, createRpcPeer} from '@kelpstep/rpc';
@@ -7,22 +7,22 @@
 import type {DatabaseSettings} from './database_settings';
 import {Session, createSession} from './session';
 
-/** A connection beyond the limit is closed this long after its refusal. */
-const REFUSAL_LINGER = 50;
-/** A connection beyond the limit that doesn't replicate ends after this. */
-const IDLE_LINGER = 5000;
+/** Delay between the refusal on a connection over the limit and its close. */
+const REFUSAL_CLOSE_DELAY_MS = 50;
+/** A connection over the limit closes after this unless it replicates. */
+const EXCESS_CONNECTION_TIMEOUT_MS = 5000;
 
-/** The connections of a database. */
+/** Client and replication connections of a database. */
 export interface Connections {
   accept(connection: Connection): void;
-  /** The session of a connection. */
+  /** Returns the session of a connection and creates it at the first call. */
   sessionOf(peer: RpcPeer): Session;
-  /** Connections that count against the limit. */
+  /** Number of connections that count against the limit. */
   count(): number;
   closeAll(): void;
 }
 
-/** What connections are made of. */
+/** Options of `createConnections`. */
 export interface ConnectionsOptions {
   readonly timer: TimerService;
   readonly settings: () => DatabaseSettings;
@@ -34,7 +34,7 @@
 /** Creates an empty set of connections. */
 export function createConnections(options: ConnectionsOptions): Connections {
   const {timer, settings, handlers, onClosed} = options;
-  const counted = new Set<Connection>();
+  const countedConnections = new Set<Connection>();
   const peers = new Set<RpcPeer>();
   const sessions = new Map<RpcPeer, Session>();
   const replicating = new Set<RpcPeer>();
@@ -48,20 +48,23 @@
     return session;
   }
 
-  /** Replication has a reserve of its own and gives its place back. */
-  function handlersFor(connection: Connection): HandlerTable {
+  /**
+   * Handlers of an admitted connection. Once it replicates, it no longer counts
+   * against the limit: replication connections have a reserve of their own.
+   */
+  function admittedHandlers(connection: Connection): HandlerTable {
     return {
       ...handlers,
       dispatch(name, parameters, peer) {
         if (name === targetReplicate.name) {
-          counted.delete(connection);
+          countedConnections.delete(connection);
         }
         return handlers.dispatch(name, parameters, peer);
       },
     };
   }
 
-  /** Beyond the limit everything but replication is refused. */
+  /** Handlers of a connection over the limit: they serve replication only. */
   function refusingHandlers(): HandlerTable {
     return {
       ...handlers,
@@ -70,7 +73,9 @@
           replicating.add(peer);
           return handlers.dispatch(name, parameters, peer);
         }
-        timer.after(REFUSAL_LINGER, () => peer.close('connection limit'));
+        timer.after(REFUSAL_CLOSE_DELAY_MS, () =>
+          peer.close('connection limit'),
+        );
         return settledFuture(Err(createFailure('CONNECTIONS_EXHAUSTED')));
       },
     };
@@ -80,11 +85,11 @@
     const peer = createRpcPeer({
       connection,
       timer,
-      handlers: isAdmitted ? handlersFor(connection) : refusingHandlers(),
+      handlers: isAdmitted ? admittedHandlers(connection) : refusingHandlers(),
     });
     peers.add(peer);
     peer.closed.onSettled(() => {
-      counted.delete(connection);
+      countedConnections.delete(connection);
       peers.delete(peer);
       replicating.delete(peer);
       const session = sessionOf(peer);
@@ -95,8 +100,8 @@
     return peer;
   }
 
-  function refuseLater(peer: RpcPeer): void {
-    timer.after(IDLE_LINGER, () => {
+  function closeUnlessReplicating(peer: RpcPeer): void {
+    timer.after(EXCESS_CONNECTION_TIMEOUT_MS, () => {
       if (!replicating.has(peer)) {
         peer.close('connection limit');
       }
@@ -105,17 +110,17 @@
 
   function accept(connection: Connection): void {
     const {connectionLimit, connectionSetup} = settings();
-    const isAdmitted = counted.size < connectionLimit;
+    const isAdmitted = countedConnections.size < connectionLimit;
     if (isAdmitted) {
-      counted.add(connection);
+      countedConnections.add(connection);
     }
     function serve(): void {
       const peer = open(connection, isAdmitted);
       if (!isAdmitted) {
-        refuseLater(peer);
+        closeUnlessReplicating(peer);
       }
     }
-    // Until then the connection keeps what arrives.
+    // The connection buffers incoming messages until it is served.
     if (connectionSetup > 0) {
       timer.after(connectionSetup, serve);
     } else {
@@ -129,5 +134,5 @@
     }
   }
 
-  return {accept, sessionOf, count: () => counted.size, closeAll};
+  return {accept, sessionOf, count: () => countedConnections.size, closeAll};
 }
--- a/packages/stand-ins/src/database/database.ts
+++ b/packages/stand-ins/src/database/database.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of a database stand-in. */
+/** Assembles the components of a database stand-in. */
 import {
   Rows,
   Statement,
@@ -46,7 +46,7 @@
 } from './database_settings';
 import {createExecutor} from './executor';
 import {createFaults} from './faults';
-import {createGatedTransport} from './gated_transport';
+import {createFreezableTransport} from './freezable_transport';
 import {createIdempotencyKeys} from './idempotency_keys';
 import {createJobRunner} from './job_runner';
 import {createKeyedWriter} from './keyed_writer';
@@ -59,31 +59,31 @@
 import {createStore} from './store';
 import {createTransactions} from './transactions';
 
-/** What a database is made of. */
+/** Options of `createDatabase`. */
 export interface DatabaseOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
   /** Member id, as in the manifest. */
   readonly target: string;
-  /** Where it listens. */
+  /** Listen address. */
   readonly address: Address;
-  /** Differs between processes with the same id; random by default. */
+  /** Distinguishes processes with the same member id; random by default. */
   readonly incarnation?: string;
   readonly settings?: Partial<DatabaseSettings>;
-  /** By default a timer without delay; `setImmediate` is quicker. */
+  /** Default: a timer with delay 0. On real time `setImmediate` is faster. */
   readonly defer?: Defer;
 }
 
-/** A database that runs. */
+/** A running database. */
 export interface Database {
-  /** Settles once it listens. */
+  /** Settles with the bound address, or with the error of a failed listen. */
   readonly listening: Future<Result<Address, TransportError>>;
   readonly control: DatabaseControl;
-  /** Ends it: connections close, nothing of it runs any more. */
+  /** Closes the listener and all connections; stops all tasks and timers. */
   stop(): void;
 }
 
-/** Creates a database, empty and in no term, and lets it listen. */
+/** Creates an empty database in term 0 and starts listening. */
 export function createDatabase(options: DatabaseOptions): Database {
   const {target, address} = options;
   const incarnation =
@@ -91,10 +91,10 @@
   let settings = {...DEFAULT_DATABASE_SETTINGS, ...options.settings};
   const readSettings = () => settings;
 
-  // All that reaches the database passes the host timer, which can freeze it.
+  // Timers and messages go through the host timer, so that a freeze stops all.
   const timer = createHostTimer({timer: options.runtime.timer});
   const runtime = createRuntime({timer, random: options.runtime.random});
-  const transport = createGatedTransport(options.transport, timer);
+  const transport = createFreezableTransport(options.transport, timer);
   const defer: Defer = options.defer ?? (action => timer.after(0, action));
 
   const faults = createFaults();
@@ -148,8 +148,8 @@
   let stopped = false;
 
   function onChange(): void {
-    source.wake();
-    positions.changed();
+    source.answerWaiters();
+    positions.scheduleUpdate();
   }
 
   function status(): TargetStatus {
@@ -167,7 +167,7 @@
       ...(configuration === undefined ? {} : {configuration}),
       ...(member.role() === 'primary'
         ? {}
-        : {primarySilence: client.silence()}),
+        : {primarySilence: client.timeSinceLastAnswer()}),
       slots: settings.slots,
       connectionLimit: settings.connectionLimit,
     };
--- a/packages/stand-ins/src/database/database_control.ts
+++ b/packages/stand-ins/src/database/database_control.ts
@@ -8,27 +8,30 @@
 
 import type {DatabaseConfiguration} from './database_settings';
 
-/** Counts of what a database does now. */
+/** Current counts of a database. */
 export interface DatabaseStatistics {
   readonly connections: number;
   readonly busySlots: number;
   readonly waiting: number;
   readonly transactions: number;
-  /** Answers to `target.execute` so far, good or bad. */
+  /** Calls of `target.execute` answered so far, successful or not. */
   readonly executions: number;
 }
 
-/** Faults and inspection, in process. */
+/** Controls and inspects a database within the same process. */
 export interface DatabaseControl {
-  /** Changes settings and faults; what is absent stays. */
+  /** Changes settings and faults; absent fields keep their value. */
   configure(change: DatabaseConfiguration): void;
-  /** Pauses it, as if the process were stopped. */
+  /** Pauses the database, as SIGSTOP does with a process. */
   freeze(): void;
   thaw(): void;
   status(): TargetStatus;
-  /** The records of its log. */
+  /** Returns all applied records of the log. */
   records(): LogRecord[];
-  /** Reads its data past all slots and faults; no rows if it can't. */
+  /**
+   * Runs a read statement on the committed data without slots or faults.
+   * Returns no rows if the statement fails.
+   */
   inspect(statement: Statement): Rows;
   statistics(): DatabaseStatistics;
 }
--- a/packages/stand-ins/src/database/database_settings.ts
+++ b/packages/stand-ins/src/database/database_settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the database stand-in; all can change while it runs. */
+/** Settings and faults of the database stand-in; all can change at run time. */
 import {defineMethod} from '@kelpstep/protocol';
 import {z} from 'zod';
 
@@ -6,25 +6,25 @@
 const count = z.number().int().nonnegative();
 
 const settingsFields = {
-  /** Statements that run at a time. */
+  /** Maximum number of statements that run concurrently. */
   slots: count.min(1),
-  /** Statements that may wait for a slot. */
+  /** Maximum number of statements that wait for a slot. */
   queueLimit: count,
-  /** Connections accepted, replication not counted. */
+  /** Maximum number of connections; replication connections don't count. */
   connectionLimit: count.min(1),
-  /** Time until a new connection serves its first request. */
+  /** Delay before a new connection serves its first request. */
   connectionSetup: milliseconds,
-  /** How long a statement keeps its slot. */
+  /** Mean time for which a statement occupies its slot. */
   serviceTime: milliseconds,
-  /** Share by which the service time varies, 0 to 1. */
+  /** Relative variation of the service time, 0 to 1. */
   serviceJitter: z.number().min(0).max(1),
-  /** How long a replica holds a record back before it is in its log. */
+  /** Delay between receiving a record on a replica and applying it. */
   lag: milliseconds,
-  /** Longest time for which a primary holds a replica's request. */
+  /** Maximum time for which a primary holds a replica's request open. */
   replicationHeartbeat: milliseconds.min(1),
-  /** Age of a key beyond which it is refused. */
+  /** Maximum age of an idempotency key; an older one is refused. */
   keyRetention: milliseconds,
-  /** How far ahead of this target's wall clock a key may be issued. */
+  /** Maximum time by which a key may be issued ahead of this target's clock. */
   maximumClockSkew: milliseconds,
 };
 
@@ -32,7 +32,7 @@
 export const databaseSettingsSchema = z.strictObject(settingsFields);
 export type DatabaseSettings = z.infer<typeof databaseSettingsSchema>;
 
-/** Settings that hold unless others are given. */
+/** Default settings. */
 export const DEFAULT_DATABASE_SETTINGS: DatabaseSettings = {
   slots: 3,
   queueLimit: 1000,
@@ -47,37 +47,37 @@
 };
 
 const faultFields = {
-  /** Closes new connections at once. */
+  /** Closes new connections immediately. */
   refuseConnections: z.boolean(),
   /** Refuses statements with `SLOTS_EXHAUSTED`. */
   refuseStatements: z.boolean(),
-  /** The next answers of a method are lost after the effect. */
+  /** Drops the next `count` answers of a method; the calls take effect. */
   loseAnswers: z.strictObject({method: z.string(), count}),
 };
 
-/** Faults of a database. */
+/** Faults that a test can switch on in a database. */
 export const databaseFaultsSchema = z.strictObject(faultFields);
 export type DatabaseFaults = z.infer<typeof databaseFaultsSchema>;
 
-/** No faults. */
+/** All faults switched off. */
 export const NO_DATABASE_FAULTS: DatabaseFaults = {
   refuseConnections: false,
   refuseStatements: false,
   loseAnswers: {method: '', count: 0},
 };
 
-/** A change of settings and faults; what is absent stays. */
+/** A change of settings and faults; absent fields keep their value. */
 export const databaseConfigurationSchema = z
   .strictObject({
     ...settingsFields,
     ...faultFields,
-    /** Pauses the database for this long, from now on. */
+    /** Pauses the database immediately for this time. */
     freeze: milliseconds,
   })
   .partial();
 export type DatabaseConfiguration = z.infer<typeof databaseConfigurationSchema>;
 
-/** Changes settings and faults of a stand-in that runs. */
+/** Changes settings and faults of a running stand-in. */
 export const standInConfigure = defineMethod(
   'stand-in.configure',
   databaseConfigurationSchema,
--- a/packages/stand-ins/src/database/executor.ts
+++ b/packages/stand-ins/src/database/executor.ts
@@ -1,4 +1,4 @@
-/** Statements, transactions and keys: what takes a slot of a database. */
+/** Executes statements, transactions and settlements of idempotency keys. */
 import {
   Execution,
   Failure,
@@ -29,7 +29,7 @@
 type SettleKey = ParametersOf<typeof targetSettleKey>;
 type Answer<R> = Result<R, Failure>;
 
-/** Serves the methods that work on the data. */
+/** Serves the RPC methods that read or change data. */
 export interface Executor {
   execute(parameters: Execute, session: Session): Future<Answer<Execution>>;
   begin(
@@ -44,7 +44,7 @@
   settleKey(parameters: SettleKey, session: Session): Future<Answer<KeyState>>;
 }
 
-/** What an executor is made of. */
+/** Options of `createExecutor`. */
 export interface ExecutorOptions {
   readonly store: Store;
   readonly member: MemberState;
@@ -53,8 +53,8 @@
   readonly writer: KeyedWriter;
 }
 
-/** A write needs the term in which its sender believes. */
-function termOf(parameters: Execute): Result<number, Failure> {
+/** Returns the term that the sender assumes; a write without one fails. */
+function requireTerm(parameters: Execute): Result<number, Failure> {
   return parameters.term === undefined
     ? Err(createFailure('INVALID_PARAMETERS', {message: 'A write needs term.'}))
     : Ok(parameters.term);
@@ -78,7 +78,7 @@
 
   function write(parameters: Execute): Answer<Execution> {
     const {statement, key} = parameters;
-    return termOf(parameters).andThen(term => {
+    return requireTerm(parameters).andThen(term => {
       const refusal = member.checkPrimary(term);
       return refusal === undefined
         ? writer.writeOnce({
@@ -168,24 +168,27 @@
     });
   }
 
-  /** A repeated commit finds its key when its transaction is long gone. */
-  function commitNow(parameters: Commit, session: Session): Answer<Execution> {
+  /** A retried commit is answered by its key after its transaction ended. */
+  function applyCommit(
+    parameters: Commit,
+    session: Session,
+  ): Answer<Execution> {
     const {transaction: id, key} = parameters;
     const found = transactions.find(session, id);
     if (found.err) {
-      return commitAgain(key, found.val);
+      return answerRepeatedCommit(key, found.val);
     }
     const transaction = found.val;
     const pause = member.checkPause();
     if (pause !== undefined) {
       return Err(pause);
     }
-    const answer = commitOpen(transaction, key);
+    const answer = commitTransaction(transaction, key);
     transactions.end(session);
     return answer;
   }
 
-  function commitAgain(
+  function answerRepeatedCommit(
     key: IdempotencyKey | undefined,
     failure: Failure,
   ): Answer<Execution> {
@@ -202,14 +205,15 @@
       );
   }
 
-  function commitOpen(
+  function commitTransaction(
     transaction: Transaction,
     key: IdempotencyKey | undefined,
   ): Answer<Execution> {
     const {term, tables, writes} = transaction;
-    const known = key === undefined ? Ok(undefined) : writer.check(key, writes);
-    if (known.err || known.val !== undefined) {
-      return known as Answer<Execution>;
+    const keyCheck =
+      key === undefined ? Ok(undefined) : writer.check(key, writes);
+    if (keyCheck.err || keyCheck.val !== undefined) {
+      return keyCheck as Answer<Execution>;
     }
     if (tables.hasConflict()) {
       const message = 'Another wrote what this transaction used.';
@@ -231,7 +235,7 @@
       session,
       slotUse: 'none',
       duration: runner.serviceTime(),
-      effect: () => commitNow(parameters, session),
+      effect: () => applyCommit(parameters, session),
     });
   }
 
@@ -251,7 +255,7 @@
     });
   }
 
-  function settleNow({term, key}: SettleKey): Answer<KeyState> {
+  function applySettlement({term, key}: SettleKey): Answer<KeyState> {
     const refusal = member.checkPrimary(term);
     return refusal === undefined ? writer.settle(term, key) : Err(refusal);
   }
@@ -261,7 +265,7 @@
       session,
       slotUse: 'while-running',
       duration: runner.serviceTime(),
-      effect: () => settleNow(parameters),
+      effect: () => applySettlement(parameters),
     });
   }
 
--- a/packages/stand-ins/src/database/faults.ts
+++ b/packages/stand-ins/src/database/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of a database that concern its answers. */
+/** Injects faults into the RPC handlers of a database. */
 import {createFailure, targetExecute} from '@kelpstep/protocol';
 import {createDeferred, settledFuture} from '@kelpstep/runtime';
 import type {HandlerTable, Reply} from '@kelpstep/rpc';
@@ -6,16 +6,16 @@
 
 import {DatabaseFaults, NO_DATABASE_FAULTS} from './database_settings';
 
-/** The faults of one database. */
+/** Fault state of one database. */
 export interface Faults {
   current(): DatabaseFaults;
-  /** Changes faults; what is absent or undefined stays. */
+  /** Changes faults; absent or undefined fields keep their value. */
   configure(change: Partial<DatabaseFaults>): void;
-  /** Lets the faults act on handlers. */
+  /** Returns handlers that apply the current faults. */
   wrap(handlers: HandlerTable): HandlerTable;
 }
 
-/** Creates faults that are all off. */
+/** Creates a state with all faults switched off. */
 export function createFaults(): Faults {
   let faults = NO_DATABASE_FAULTS;
 
@@ -27,8 +27,8 @@
     };
   }
 
-  /** Counts an answer of a method against those to lose. */
-  function takeLoss(method: string): boolean {
+  /** True if the next answer of a method is to be dropped; counts it. */
+  function consumeAnswerLoss(method: string): boolean {
     const {loseAnswers} = faults;
     if (loseAnswers.count === 0 || loseAnswers.method !== method) {
       return false;
@@ -44,7 +44,7 @@
         if (faults.refuseStatements && name === targetExecute.name) {
           return settledFuture(Err(createFailure('SLOTS_EXHAUSTED')));
         }
-        const isLost = takeLoss(name);
+        const isLost = consumeAnswerLoss(name);
         const answer = handlers.dispatch(name, parameters, peer);
         return isLost ? createDeferred<Reply<unknown>>().future : answer;
       },
--- a/packages/stand-ins/src/database/gated_transport.ts
+++ b/packages/stand-ins/src/database/freezable_transport.ts
@@ -1,10 +1,10 @@
-/** A transport whose events wait while its process is frozen. */
+/** A transport that delays its events while its process is frozen. */
 import {mapFuture} from '@kelpstep/runtime';
 import type {Connection, ConnectionListener, Transport} from '@kelpstep/rpc';
 
 import type {HostTimer} from '../network/host_timer';
 
-function gateConnection(connection: Connection, timer: HostTimer): Connection {
+function wrapConnection(connection: Connection, timer: HostTimer): Connection {
   function listen(listener: ConnectionListener): void {
     connection.listen({
       onMessage: message => timer.run(() => listener.onMessage(message)),
@@ -14,19 +14,19 @@
   return {...connection, listen};
 }
 
-/** Lets everything that comes from a transport pass a host timer. */
-export function createGatedTransport(
+/** Wraps a transport so that its events run through a host timer. */
+export function createFreezableTransport(
   transport: Transport,
   timer: HostTimer,
 ): Transport {
   return {
     dial: (address, timeout) =>
       mapFuture(transport.dial(address, timeout), dialled =>
-        dialled.map(connection => gateConnection(connection, timer)),
+        dialled.map(connection => wrapConnection(connection, timer)),
       ),
     listen: (address, accept) =>
       transport.listen(address, connection =>
-        timer.run(() => accept(gateConnection(connection, timer))),
+        timer.run(() => accept(wrapConnection(connection, timer))),
       ),
   };
 }
--- a/packages/stand-ins/src/database/idempotency_keys.ts
+++ b/packages/stand-ins/src/database/idempotency_keys.ts
@@ -1,4 +1,4 @@
-/** The idempotency keys that a database has recorded with its data. */
+/** Idempotency keys that a database has recorded together with its data. */
 import {
   Failure,
   IdempotencyKey,
@@ -11,9 +11,9 @@
 import type {Milliseconds} from '@kelpstep/runtime';
 import {createHash} from 'node:crypto';
 
-/** What is recorded with a key. */
+/** Recorded outcome of an idempotency key. */
 export interface RecordedKey {
-  /** Digest of the statements that ran with it. */
+  /** Digest of the statements that were executed with the key. */
   readonly digest: string;
   readonly issuedAt: Milliseconds;
   readonly cancelled: boolean;
@@ -21,35 +21,35 @@
   readonly at: LogPosition;
 }
 
-/** Limits that depend on this target's wall clock. */
+/** Age limits of keys, checked against this target's wall clock. */
 export interface KeyLimits {
   readonly keyRetention: Milliseconds;
   readonly maximumClockSkew: Milliseconds;
 }
 
-/** The recorded keys. */
+/** Index of the recorded keys. */
 export interface IdempotencyKeys {
   find(key: IdempotencyKey): RecordedKey | undefined;
-  /** Why a key that is not recorded may not be used, if so. */
-  findFault(key: IdempotencyKey): Failure | undefined;
-  /** Records the key of a log record. */
+  /** Failure for an unrecorded key that is too old or from the future. */
+  validate(key: IdempotencyKey): Failure | undefined;
+  /** Records the key of a log record, if it has one. */
   record(record: LogRecord): void;
   clear(): void;
 }
 
 /**
- * Keys are forgotten only at this multiple of their retention. Up to then a
- * key that is not found is known not to have run.
+ * Keys are deleted at this multiple of their retention. Until then a key that
+ * is not recorded is known not to have been executed.
  */
-const FORGET_FACTOR = 2;
+const DELETION_AGE_FACTOR = 2;
 
-/** Digest of the statements that a key stands for. */
+/** Digest of a list of statements: SHA-256 of texts and parameters, in hex. */
 export function digestStatements(statements: readonly Statement[]): string {
   const content = statements.map(({text, parameters}) => [text, parameters]);
   return createHash('sha256').update(JSON.stringify(content)).digest('hex');
 }
 
-/** Creates an empty record of keys. */
+/** Creates an empty index of keys. */
 export function createIdempotencyKeys(
   wallClock: () => Milliseconds,
   limits: () => KeyLimits,
@@ -60,29 +60,29 @@
     return wallClock() - issuedAt;
   }
 
-  function isForgotten(issuedAt: Milliseconds): boolean {
-    return ageOf(issuedAt) > FORGET_FACTOR * limits().keyRetention;
+  function isDeletable(issuedAt: Milliseconds): boolean {
+    return ageOf(issuedAt) > DELETION_AGE_FACTOR * limits().keyRetention;
   }
 
-  function findFault(key: IdempotencyKey): Failure | undefined {
+  function validate(key: IdempotencyKey): Failure | undefined {
     const {keyRetention, maximumClockSkew} = limits();
     const age = ageOf(key.issuedAt);
     if (age < -maximumClockSkew) {
       return createFailure('KEY_FROM_FUTURE');
     }
-    if (isForgotten(key.issuedAt)) {
+    if (isDeletable(key.issuedAt)) {
       return createFailure('KEY_EXPIRED');
     }
-    // It is still remembered: what isn't recorded by now never ran.
+    // Keys of this age are not deleted yet, so an unrecorded one never ran.
     return age > keyRetention
       ? createFailure('KEY_EXPIRED', {outcome: 'not_run'})
       : undefined;
   }
 
-  /** Forgets from the oldest record on; the first that is kept ends it. */
-  function forget(): void {
+  /** Deletes expired keys, oldest record first, up to the first to keep. */
+  function deleteOldEntries(): void {
     for (const [id, entry] of recorded) {
-      if (!isForgotten(entry.issuedAt)) {
+      if (!isDeletable(entry.issuedAt)) {
         return;
       }
       recorded.delete(id);
@@ -101,12 +101,12 @@
       rows: rows ?? [],
       at,
     });
-    forget();
+    deleteOldEntries();
   }
 
   return {
     find: key => recorded.get(key.id),
-    findFault,
+    validate,
     record,
     clear: () => recorded.clear(),
   };
--- a/packages/stand-ins/src/database/job_runner.ts
+++ b/packages/stand-ins/src/database/job_runner.ts
@@ -1,4 +1,4 @@
-/** Runs the jobs of connections in slots, with their service time. */
+/** Runs the jobs of sessions in slots and applies their service time. */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Future, Milliseconds, Runtime, createDeferred} from '@kelpstep/runtime';
 import {Err, Result} from 'ts-results';
@@ -7,34 +7,37 @@
 import type {Session} from './session';
 import type {SlotPool} from './slot_pool';
 
-/** How a job uses slots: not at all, for its time, or beyond if it succeeds. */
+/**
+ * How a job uses slots: not at all, while it runs, or also after its end if it
+ * succeeds.
+ */
 export type SlotUse = 'none' | 'while-running' | 'kept';
 
-/** A piece of work on one connection. */
+/** A unit of work of one session. */
 export interface SlotJob<R> {
   readonly session: Session;
   readonly slotUse: SlotUse;
-  /** Time that it takes before its effect. */
+  /** Time between the start of the job and its effect. */
   readonly duration: Milliseconds;
-  /** The effect and its answer, in one step. */
+  /** Applies the effect synchronously and returns the answer. */
   readonly effect: () => Result<R, Failure>;
 }
 
-/** Runs jobs; those of one connection one after another. */
+/** Runs jobs; the jobs of one session run one after another. */
 export interface JobRunner {
   run<R>(job: SlotJob<R>): Future<Result<R, Failure>>;
-  /** The service time of the next statement. */
+  /** Service time of the next statement, with jitter applied. */
   serviceTime(): Milliseconds;
 }
 
-/** What a runner is made of. */
+/** Options of `createJobRunner`. */
 export interface JobRunnerOptions {
   readonly runtime: Pick<Runtime, 'timer' | 'random'>;
   readonly slots: SlotPool;
   readonly settings: () => DatabaseSettings;
 }
 
-/** Creates a runner without jobs. */
+/** Creates a runner with no jobs. */
 export function createJobRunner(options: JobRunnerOptions): JobRunner {
   const {runtime, slots, settings} = options;
 
@@ -45,8 +48,8 @@
       : runtime.random.jitter(mean, serviceJitter);
   }
 
-  /** Without service time there is no timer, as timers are slow. */
-  function takeTime(duration: Milliseconds, action: () => void): void {
+  /** Runs an action after a duration; 0 sets no timer, as timers are slow. */
+  function runAfter(duration: Milliseconds, action: () => void): void {
     if (duration > 0) {
       runtime.timer.after(duration, action);
     } else {
@@ -58,9 +61,9 @@
     const {session, slotUse, duration, effect} = job;
     const answer = createDeferred<Result<R, Failure>>();
 
-    function inSlot(done: () => void): void {
+    function runInSlot(done: () => void): void {
       session.onClose = undefined;
-      takeTime(duration, () => {
+      runAfter(duration, () => {
         const result = effect();
         if (slotUse === 'while-running' || (slotUse === 'kept' && result.err)) {
           slots.release();
@@ -72,13 +75,13 @@
 
     session.enqueue(done => {
       if (slotUse === 'none') {
-        inSlot(done);
+        runInSlot(done);
         return;
       }
       let granted = false;
       const cancel = slots.acquire(() => {
         granted = true;
-        inSlot(done);
+        runInSlot(done);
       });
       if (cancel === undefined) {
         answer.settle(Err(createFailure('SLOTS_EXHAUSTED')));
--- a/packages/stand-ins/src/database/keyed_writer.ts
+++ b/packages/stand-ins/src/database/keyed_writer.ts
@@ -1,4 +1,4 @@
-/** Writes records so that each idempotency key runs at most once. */
+/** Writes records so that each idempotency key takes effect at most once. */
 import {
   Execution,
   Failure,
@@ -13,19 +13,23 @@
 import type {MemberState} from './member_state';
 import type {NewRecord, Store} from './store';
 
-/** Writes for a member that has checked that it is primary. */
+/** Writes for a member; callers check first that it is the primary. */
 export interface KeyedWriter {
   /**
-   * The recorded answer of a key; `undefined` if the key is free to use. The
-   * statements are compared if they are known.
+   * Returns the recorded answer of a key, or `undefined` if the key is unused
+   * and valid. Given statements must match the recorded ones, otherwise the
+   * check fails with `KEY_MISMATCH`.
    */
   check(
     key: IdempotencyKey,
     statements: readonly Statement[] | undefined,
   ): Result<Execution | undefined, Failure>;
-  /** Writes a record unless its key or a pause stands against it. */
+  /**
+   * Writes a record, or returns the recorded answer of its key. Fails if the
+   * key is not usable or writes are paused.
+   */
   writeOnce(record: NewRecord): Result<Execution, Failure>;
-  /** Gives the recorded answer of a key, or cancels it. */
+  /** Returns the recorded state of a key; cancels the key if there is none. */
   settle(term: number, key: IdempotencyKey): Result<KeyState, Failure>;
 }
 
@@ -50,28 +54,28 @@
   ): Result<Execution | undefined, Failure> {
     const recorded = store.keys.find(key);
     if (recorded === undefined) {
-      const fault = store.keys.findFault(key);
-      return fault === undefined ? Ok(undefined) : Err(fault);
+      const failure = store.keys.validate(key);
+      return failure === undefined ? Ok(undefined) : Err(failure);
     }
     if (recorded.cancelled) {
       return Err(createFailure('KEY_CANCELLED'));
     }
-    const isOther =
+    const isMismatch =
       statements !== undefined &&
       recorded.digest !== digestStatements(statements);
-    return isOther
+    return isMismatch
       ? Err(createFailure('KEY_MISMATCH'))
       : Ok(recordedExecution(recorded));
   }
 
   function writeOnce(record: NewRecord): Result<Execution, Failure> {
     const {key, statements} = record;
-    const known = key === undefined ? Ok(undefined) : check(key, statements);
-    if (known.err) {
-      return known;
+    const keyCheck = key === undefined ? Ok(undefined) : check(key, statements);
+    if (keyCheck.err) {
+      return keyCheck;
     }
-    if (known.val !== undefined) {
-      return Ok(known.val);
+    if (keyCheck.val !== undefined) {
+      return Ok(keyCheck.val);
     }
     const pause = member.checkPause();
     return pause === undefined
@@ -87,10 +91,10 @@
     if (recorded !== undefined) {
       return Ok(recordedState(recorded));
     }
-    // A key that may have been forgotten can't be told from one that never ran.
-    const fault = store.keys.findFault(key);
-    if (fault?.outcome === 'unknown') {
-      return Err(fault);
+    // A key this old may have been deleted, so its outcome is not known.
+    const failure = store.keys.validate(key);
+    if (failure?.outcome === 'unknown') {
+      return Err(failure);
     }
     const pause = member.checkPause();
     if (pause !== undefined) {
--- a/packages/stand-ins/src/database/member_state.ts
+++ b/packages/stand-ins/src/database/member_state.ts
@@ -1,4 +1,4 @@
-/** Term and role of one member of a group. */
+/** Term and role of one member of a replication group. */
 import {
   Configuration,
   Failure,
@@ -13,54 +13,58 @@
 import type {CatchUp} from './catch_up';
 import type {Store} from './store';
 
-/** What a member knows of its group. */
+/** State of a member and the operations that change it. */
 export interface MemberState {
   role(): TargetRole;
   term(): number;
-  /** Address of the primary that it follows. */
+  /** Address of the followed primary, if any. */
   following(): string | undefined;
-  /** Refusal of what only the primary of just this term may do. */
+  /** Failure if the member is not the primary of exactly this term. */
   checkPrimary(term: number): Failure | undefined;
-  /** Refusal while writes are paused. */
+  /** Failure while writes are paused. */
   checkPause(): Failure | undefined;
-  /** Refuses lower terms from now on. */
+  /** Makes the member a replica in a higher term and refuses lower terms. */
   fence(term: number): Result<undefined, Failure>;
   /**
-   * Makes it primary; gives the barrier's position. The barrier takes the
-   * configuration if the log holds none.
+   * Makes the member primary of the term it was fenced at and writes an empty
+   * barrier record. The barrier holds the given configuration if the log has
+   * none yet. Returns the position of the barrier.
    */
   promote(
     term: number,
     configuration?: Configuration,
   ): Result<LogPosition, Failure>;
-  /** Writes a configuration in place of the one at a position. */
+  /**
+   * Writes a new configuration. Fails with `CONFIGURATION_CHANGED` unless the
+   * current one is at the position `replaces`.
+   */
   reconfigure(
     term: number,
     replaces: LogPosition,
     configuration: Configuration,
   ): Result<LogPosition, Failure>;
-  /** Makes it a replica of the primary of a term. */
+  /** Makes the member a replica of the primary of a term. */
   follow(term: number, primary: string): Result<undefined, Failure>;
-  /** Refuses writes for a time. */
+  /** Refuses writes for a duration; returns the end of the log. */
   pauseWrites(
     term: number,
     duration: Milliseconds,
   ): Result<LogPosition, Failure>;
 }
 
-/** What a member's state is made of. */
+/** Options of `createMemberState`. */
 export interface MemberStateOptions {
   readonly timer: TimerService;
   readonly store: Store;
   readonly catchUp: CatchUp;
-  /** Called before the member stops being primary or replica of a term. */
+  /** Called before the member gives up its role in the current term. */
   readonly onStepDown: () => void;
-  /** Called once the member follows a primary. */
+  /** Called after the member started to follow a primary. */
   readonly onFollow: (term: number, primary: string) => void;
   readonly onChange: () => void;
 }
 
-/** Creates the state of a member that was never part of a term. */
+/** Creates the state of a new member: a replica in term 0. */
 export function createMemberState(options: MemberStateOptions): MemberState {
   const {timer, store, onStepDown, onFollow, onChange} = options;
   let role: TargetRole = 'replica';
@@ -70,7 +74,7 @@
   let barrier: LogPosition | undefined;
   let pausedUntil: Milliseconds | undefined;
 
-  function tooLow(): Failure {
+  function termTooLowFailure(): Failure {
     return createFailure('TERM_TOO_LOW', {term});
   }
 
@@ -84,11 +88,11 @@
     pausedUntil = undefined;
   }
 
-  function checkPrimary(wanted: number): Failure | undefined {
-    if (wanted < term) {
-      return tooLow();
+  function checkPrimary(requestedTerm: number): Failure | undefined {
+    if (requestedTerm < term) {
+      return termTooLowFailure();
     }
-    return role === 'primary' && wanted === term
+    return role === 'primary' && requestedTerm === term
       ? undefined
       : createFailure('NOT_PRIMARY', {term});
   }
@@ -102,7 +106,7 @@
 
   function fence(newTerm: number): Result<undefined, Failure> {
     if (newTerm <= term) {
-      return Err(tooLow());
+      return Err(termTooLowFailure());
     }
     stepDown(newTerm);
     fencedAt = newTerm;
@@ -111,21 +115,21 @@
   }
 
   function promote(
-    wanted: number,
+    requestedTerm: number,
     initial?: Configuration,
   ): Result<LogPosition, Failure> {
-    if (wanted < term) {
-      return Err(tooLow());
+    if (requestedTerm < term) {
+      return Err(termTooLowFailure());
     }
-    if (barrier !== undefined && wanted === term) {
+    if (barrier !== undefined && requestedTerm === term) {
       return Ok(barrier);
     }
-    if (fencedAt !== wanted) {
+    if (fencedAt !== requestedTerm) {
       return Err(createFailure('NOT_FENCED', {term}));
     }
     fencedAt = undefined;
     role = 'primary';
-    options.catchUp.lead();
+    options.catchUp.becomePrimary();
     const configuration = store.configuration() ? undefined : initial;
     return store
       .write({term, statements: [], answersRows: false, configuration})
@@ -136,11 +140,11 @@
   }
 
   function reconfigure(
-    wanted: number,
+    requestedTerm: number,
     replaces: LogPosition,
     configuration: Configuration,
   ): Result<LogPosition, Failure> {
-    const refusal = checkPrimary(wanted) ?? checkPause();
+    const refusal = checkPrimary(requestedTerm) ?? checkPause();
     if (refusal !== undefined) {
       return Err(refusal);
     }
@@ -161,7 +165,7 @@
     primary: string,
   ): Result<undefined, Failure> {
     if (newTerm < term) {
-      return Err(tooLow());
+      return Err(termTooLowFailure());
     }
     if (newTerm === term && role === 'primary') {
       const message = 'It is the primary of this term.';
@@ -177,10 +181,10 @@
   }
 
   function pauseWrites(
-    wanted: number,
+    requestedTerm: number,
     duration: Milliseconds,
   ): Result<LogPosition, Failure> {
-    const refusal = checkPrimary(wanted);
+    const refusal = checkPrimary(requestedTerm);
     if (refusal !== undefined) {
       return Err(refusal);
     }
--- a/packages/stand-ins/src/database/position_stream.ts
+++ b/packages/stand-ins/src/database/position_stream.ts
@@ -1,27 +1,27 @@
-/** Streams of the target's log position to those who subscribed. */
+/** Streams the log position of a target to its subscribers. */
 import {TargetStatus, targetPositions} from '@kelpstep/protocol';
 import type {Milliseconds, TimerService, Unsubscribe} from '@kelpstep/runtime';
 import type {RpcPeer} from '@kelpstep/rpc';
 
-/** Runs an action soon, after the work of this turn. */
+/** Schedules an action to run after the current turn of the event loop. */
 export type Defer = (action: () => void) => void;
 
-/** Sends `target.positions`. */
+/** Sends `target.positions` notifications. */
 export interface PositionStream {
-  /** Starts, or restarts with another heartbeat, the stream to a peer. */
+  /** Starts the stream to a peer, or changes its heartbeat interval. */
   subscribe(peer: RpcPeer, heartbeat: Milliseconds): void;
-  /** Sends one notification for all changes of this turn. */
-  changed(): void;
+  /** Reports a change; the changes of one turn share one notification. */
+  scheduleUpdate(): void;
 }
 
-/** What a stream is made of. */
+/** Options of `createPositionStream`. */
 export interface PositionStreamOptions {
   readonly timer: TimerService;
   readonly defer: Defer;
   readonly status: () => TargetStatus;
 }
 
-/** Creates a stream without subscribers. */
+/** Creates a stream with no subscribers. */
 export function createPositionStream(
   options: PositionStreamOptions,
 ): PositionStream {
@@ -58,12 +58,12 @@
     }
   }
 
-  function changed(): void {
+  function scheduleUpdate(): void {
     if (!scheduled && subscribers.size > 0) {
       scheduled = true;
       defer(flush);
     }
   }
 
-  return {subscribe, changed};
+  return {subscribe, scheduleUpdate};
 }
--- a/packages/stand-ins/src/database/replicated_log.ts
+++ b/packages/stand-ins/src/database/replicated_log.ts
@@ -1,4 +1,4 @@
-/** The records of a log and the starts of its terms. */
+/** A replicated log: its records and the first position of each term. */
 import {
   EMPTY_LOG_END,
   LogPosition,
@@ -8,23 +8,23 @@
   termAt,
 } from '@kelpstep/protocol';
 
-/** A log; the record at position 1 is the first. */
+/** A log of records; positions start at 1. */
 export interface ReplicatedLog {
   end(): LogPosition;
-  /** Starts of its terms; never changed in place. */
+  /** First position of each term; the returned array is never modified. */
   history(): TermHistory;
-  /** Adds a record whose position follows the end. */
+  /** Appends a record, whose position must be the next one. */
   append(record: LogRecord): void;
-  /** Drops the records beyond a position. */
+  /** Removes the records after a position. */
   truncate(keep: number): void;
   recordAt(position: number): LogRecord | undefined;
-  /** The newest configuration up to a position. */
+  /** Latest configuration at or before a position. */
   configurationAt(position: number): LoggedConfiguration | undefined;
-  /** At most `limit` records beyond a position. */
+  /** Returns at most `limit` records after a position. */
   recordsAfter(position: number, limit: number): LogRecord[];
 }
 
-/** The starts of the terms that a log has up to a position. */
+/** Restricts a term history to the terms that start at or before a position. */
 export function historyUpTo(
   history: TermHistory,
   position: number,
@@ -78,22 +78,22 @@
   };
 }
 
-/** What is known of a log without its records. */
-export interface LogOutline {
+/** End and term history of a log, without its records. */
+export interface LogSummary {
   readonly end: LogPosition;
   readonly history: TermHistory;
 }
 
-/** The first position that a log wrote in the term of a position. */
+/** First position of the term that holds a position. */
 function termStart(history: TermHistory, position: number): number {
   const term = termAt(history, position);
   return history.find(start => start.term === term)?.firstPosition ?? 1;
 }
 
-/** The last position at which two logs hold the same record. */
+/** Last position at which two logs hold the same record; 0 if there is none. */
 export function lastCommonPosition(
-  left: LogOutline,
-  right: LogOutline,
+  left: LogSummary,
+  right: LogSummary,
 ): number {
   let position = Math.min(left.end.position, right.end.position);
   while (position > 0) {
@@ -102,7 +102,8 @@
     if (leftTerm === rightTerm) {
       return position;
     }
-    // Terms rise along a log, so no record of the higher one is in both.
+    // Terms never decrease along a log, so from here backwards the other log
+    // has no record of the higher term.
     const higher = leftTerm > rightTerm ? left : right;
     position = termStart(higher.history, position) - 1;
   }
--- a/packages/stand-ins/src/database/replication_client.ts
+++ b/packages/stand-ins/src/database/replication_client.ts
@@ -1,4 +1,4 @@
-/** The replica's side of replication: a task that asks its primary. */
+/** Replica side of replication: a task requests records from the primary. */
 import {Failure, LogRecord, targetReplicate} from '@kelpstep/protocol';
 import {
   Future,
@@ -22,23 +22,23 @@
 import type {DatabaseSettings} from './database_settings';
 import type {Store} from './store';
 
-const DIAL_TIMEOUT: Milliseconds = 1000;
-const RETRY_DELAY: Milliseconds = 50;
-const RETRY_JITTER = 0.2;
-/** A connection is given up after this many heartbeats without an answer. */
-const MISSED_HEARTBEATS = 5;
+const DIAL_TIMEOUT_MS: Milliseconds = 1000;
+const RETRY_BACKOFF_MS: Milliseconds = 50;
+const RETRY_JITTER_RATIO = 0.2;
+/** A connection closes after this many heartbeat intervals with no answer. */
+const MISSED_HEARTBEAT_COUNT = 5;
 
 /** Replicates from one primary at a time. */
 export interface ReplicationClient {
-  /** Replicates from the primary of a term, in place of any other. */
+  /** Starts replication from the primary of a term and ends any other. */
   follow(term: number, primary: string): void;
-  /** Stops, and drops what was received but not applied. */
+  /** Stops replication and discards records that are not applied yet. */
   stop(): void;
-  /** Milliseconds since the primary was last heard of. */
-  silence(): Milliseconds;
+  /** Time since the last answer of the primary, or since `follow`. */
+  timeSinceLastAnswer(): Milliseconds;
 }
 
-/** What a client is made of. */
+/** Options of `createReplicationClient`. */
 export interface ReplicationClientOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -50,17 +50,17 @@
 
 type Dialling = Future<Result<Connection, TransportError>>;
 
-/** Waits for a connection; one that comes after a cancellation is closed. */
-function* connectionOf(
+/** Waits for a connection; closes it if it opens after a cancellation. */
+function* awaitConnection(
   dialling: Dialling,
 ): Task<Result<Connection, TransportError>> {
-  let taken = false;
+  let isReturned = false;
   try {
     const dialled = yield* waitFor(dialling);
-    taken = true;
+    isReturned = true;
     return dialled;
   } finally {
-    if (!taken) {
+    if (!isReturned) {
       dialling.onSettled(dialled => {
         if (dialled.ok) {
           dialled.val.close('not needed any more');
@@ -70,19 +70,19 @@
   }
 }
 
-/** Creates a client that follows nobody. */
+/** Creates a client that follows no primary. */
 export function createReplicationClient(
   options: ReplicationClientOptions,
 ): ReplicationClient {
   const {runtime, transport, target, store, catchUp, settings} = options;
   const {timer, random} = runtime;
-  let heardAt = timer.now();
+  let lastAnswerAt = timer.now();
   let task: TaskHandle<void> | undefined;
-  /** Changes whenever what is on its way must not be applied any more. */
+  /** Increases with each stop, so that delayed records are not applied. */
   let epoch = 0;
 
-  function accept(keep: number, records: readonly LogRecord[]): void {
-    heardAt = timer.now();
+  function applyBatch(keep: number, records: readonly LogRecord[]): void {
+    lastAnswerAt = timer.now();
     if (keep < store.received().end.position) {
       store.truncate(keep);
       return;
@@ -111,7 +111,7 @@
   function* pull(peer: RpcPeer, term: number): Task<Failure> {
     for (;;) {
       const {end, history} = store.received();
-      const timeout = MISSED_HEARTBEATS * settings().replicationHeartbeat;
+      const timeout = MISSED_HEARTBEAT_COUNT * settings().replicationHeartbeat;
       const reply = yield* waitFor(
         peer.request(targetReplicate, {target, term, end, history}, timeout),
       );
@@ -122,14 +122,14 @@
       if (primaryEnd !== undefined) {
         catchUp.observePrimaryEnd(primaryEnd.position);
       }
-      accept(keep, records);
+      applyBatch(keep, records);
     }
   }
 
   function* replicate(term: number, primary: string): Task<void> {
     for (;;) {
-      const dialled = yield* connectionOf(
-        transport.dial(primary, DIAL_TIMEOUT),
+      const dialled = yield* awaitConnection(
+        transport.dial(primary, DIAL_TIMEOUT_MS),
       );
       if (dialled.ok) {
         const peer = createRpcPeer({connection: dialled.val, timer});
@@ -139,7 +139,7 @@
           peer.close('replication ends');
         }
       }
-      yield* sleep(random.jitter(RETRY_DELAY, RETRY_JITTER));
+      yield* sleep(random.jitter(RETRY_BACKOFF_MS, RETRY_JITTER_RATIO));
     }
   }
 
@@ -153,9 +153,9 @@
   function follow(term: number, primary: string): void {
     stop();
     catchUp.join();
-    heardAt = timer.now();
+    lastAnswerAt = timer.now();
     task = runtime.spawn('replication', replicate(term, primary));
   }
 
-  return {follow, stop, silence: () => timer.now() - heardAt};
+  return {follow, stop, timeSinceLastAnswer: () => timer.now() - lastAnswerAt};
 }
--- a/packages/stand-ins/src/database/replication_source.ts
+++ b/packages/stand-ins/src/database/replication_source.ts
@@ -1,4 +1,4 @@
-/** The primary's side of replication: answers replicas that ask for records. */
+/** Primary side of replication: answers replicas' requests for records. */
 import {
   Failure,
   LogRecord,
@@ -24,34 +24,34 @@
 type Replicate = ParametersOf<typeof targetReplicate>;
 type Batch = ResultOf<typeof targetReplicate>;
 
-/** Most records of one answer. */
-const BATCH_LIMIT = 1000;
+/** Maximum number of records in one answer. */
+const MAXIMUM_BATCH_RECORDS = 1000;
 
-/** Answers `target.replicate`. */
+/** Serves `target.replicate`. */
 export interface ReplicationSource {
   replicate(parameters: Replicate): Future<Result<Batch, Failure>>;
-  /** Looks again at the requests that wait, after a change. */
-  wake(): void;
+  /** Answers waiting requests that a change has made answerable. */
+  answerWaiters(): void;
 }
 
-/** What a source is made of. */
+/** Options of `createReplicationSource`. */
 export interface ReplicationSourceOptions {
   readonly timer: TimerService;
   readonly store: Store;
   readonly member: MemberState;
-  /** Longest time for which a request is held. */
+  /** Maximum time for which a request waits for new records. */
   readonly heartbeat: () => Milliseconds;
 }
 
 interface Waiter {
   readonly term: number;
-  /** End of the replica's log, which this log holds too. */
+  /** End of the replica's log, which is a prefix of this log. */
   readonly position: number;
   readonly answer: Deferred<Result<Batch, Failure>>;
   readonly cancelHeartbeat: Unsubscribe;
 }
 
-/** Creates a source without requests. */
+/** Creates a source with no waiting requests. */
 export function createReplicationSource(
   options: ReplicationSourceOptions,
 ): ReplicationSource {
@@ -62,7 +62,7 @@
     return Ok({keep, records, primaryEnd: store.end()});
   }
 
-  /** What can be answered now, if anything. */
+  /** Returns the answer if there is one now; `undefined` if it has to wait. */
   function answerNow(
     term: number,
     position: number,
@@ -72,7 +72,7 @@
       return Err(refusal);
     }
     return store.end().position > position
-      ? batch(position, store.recordsAfter(position, BATCH_LIMIT))
+      ? batch(position, store.recordsAfter(position, MAXIMUM_BATCH_RECORDS))
       : undefined;
   }
 
@@ -109,7 +109,7 @@
     return answer.future;
   }
 
-  function wake(): void {
+  function answerWaiters(): void {
     for (const waiter of [...waiters]) {
       const answer = answerNow(waiter.term, waiter.position);
       if (answer !== undefined) {
@@ -120,5 +120,5 @@
     }
   }
 
-  return {replicate, wake};
+  return {replicate, answerWaiters};
 }
--- a/packages/stand-ins/src/database/session.ts
+++ b/packages/stand-ins/src/database/session.ts
@@ -1,30 +1,30 @@
-/** What a database keeps for one connection. */
+/** State of a database for one connection. */
 import type {Statement} from '@kelpstep/protocol';
 
 import {createFifo} from '../fifo';
 import type {TransactionTables} from './tables';
 
-/** A transaction; it holds a slot until its end. */
+/** An open transaction, which occupies a slot until it ends. */
 export interface Transaction {
   readonly id: string;
-  /** The term in which it was begun. */
+  /** Term in which the transaction began. */
   readonly term: number;
   readonly tables: TransactionTables;
-  /** Writes that are applied at the commit. */
+  /** Write statements, in order; the commit applies them. */
   readonly writes: Statement[];
 }
 
-/** Work of a connection; it calls `done` at its end. */
+/** An asynchronous job; it must call `done` when it has finished. */
 export type Job = (done: () => void) => void;
 
-/** A connection's jobs and its transaction. */
+/** Job queue and transaction of one connection. */
 export interface Session {
   transaction: Transaction | undefined;
-  /** Id of the last transaction that the database rolled back by itself. */
+  /** Id of the last transaction that the database rolled back on its own. */
   lostTransaction: string | undefined;
-  /** Runs a job once those before it are done. */
+  /** Runs a job after all earlier jobs have finished. */
   enqueue(job: Job): void;
-  /** Names what to do if the connection ends; `undefined` for nothing. */
+  /** Callback for the end of the connection, if any. */
   onClose: (() => void) | undefined;
   isClosed(): boolean;
   close(): void;
@@ -42,7 +42,7 @@
     pump();
   }
 
-  /** A loop, so that jobs which end at once keep the stack flat. */
+  /** Runs queued jobs in a loop: synchronous jobs must not nest the stack. */
   function pump(): void {
     if (pumping) {
       return;
--- a/packages/stand-ins/src/database/slot_pool.ts
+++ b/packages/stand-ins/src/database/slot_pool.ts
@@ -1,23 +1,23 @@
-/** Slots: how many statements run at a time; the others wait in order. */
+/** Limits concurrent statements by slots; waiting statements are FIFO. */
 import {createFifo} from '../fifo';
 
-/** Limits of a pool; read anew at each use. */
+/** Limits of a pool; they may change between calls. */
 export interface SlotLimits {
   readonly slots: number;
   readonly queueLimit: number;
 }
 
-/** Gives up waiting for a slot; does nothing once it is granted. */
+/** Leaves the queue; does nothing once the slot is granted. */
 export type CancelWait = () => void;
 
-/** The slots of one database. */
+/** The statement slots of one database. */
 export interface SlotPool {
   /**
-   * Calls `onGranted` once there is a slot, at once if one is free. Gives
-   * `undefined`, and never calls it, if the queue is full.
+   * Calls `onGranted` as soon as a slot is free, synchronously if one is free
+   * now. Returns `undefined`, and never calls it, if the queue is full.
    */
   acquire(onGranted: () => void): CancelWait | undefined;
-  /** Gives a slot back. */
+  /** Frees a slot and grants it to the next waiting statement. */
   release(): void;
   busy(): number;
   waiting(): number;
@@ -28,9 +28,9 @@
   cancelled: boolean;
 }
 
-function cancelNothing(): void {}
+function noop(): void {}
 
-/** Creates a pool with all slots free. */
+/** Creates a pool whose slots are all free. */
 export function createSlotPool(limits: () => SlotLimits): SlotPool {
   const queue = createFifo<Waiter>();
   let busy = 0;
@@ -42,7 +42,7 @@
     if (busy < slots && waiting === 0) {
       busy++;
       onGranted();
-      return cancelNothing;
+      return noop;
     }
     if (waiting >= queueLimit) {
       return undefined;
@@ -69,7 +69,10 @@
     }
   }
 
-  /** A loop, so that statements without service time keep the stack flat. */
+  /**
+   * Grants free slots in a loop: statements without service time finish
+   * synchronously and must not nest the stack.
+   */
   function grant(): void {
     while (busy < limits().slots) {
       const waiter = queue.shift();
--- a/packages/stand-ins/src/database/statements.ts
+++ b/packages/stand-ins/src/database/statements.ts
@@ -1,4 +1,4 @@
-/** The statement language of the stand-in; opaque to proxies. */
+/** The statement language of the stand-in; proxies don't parse it. */
 import {
   Failure,
   Rows,
@@ -12,11 +12,11 @@
 
 import type {Tables} from './tables';
 
-/** A statement that is ready to run. */
+/** A validated statement. */
 export interface PreparedStatement {
-  /** How long it holds its slot on top of the service time. */
+  /** Time for which it occupies its slot beyond the service time. */
   readonly extraTime: Milliseconds;
-  /** Runs it; a failure leaves the tables as they were. */
+  /** Executes the statement; a failure leaves the tables unchanged. */
   run(tables: Tables): Result<Rows, Failure>;
 }
 
@@ -24,34 +24,34 @@
 
 interface Operation {
   readonly writes: boolean;
-  /** Gives what is wrong with the parameters, if anything. */
-  readonly findFault: (parameters: Parameters) => string | undefined;
+  /** Returns a message if the parameters are invalid. */
+  readonly validate: (parameters: Parameters) => string | undefined;
   readonly run: (
     parameters: Parameters,
     tables: Tables,
   ) => Result<Rows, string>;
 }
 
-function nameFault(parameters: Parameters): string | undefined {
+function validateName(parameters: Parameters): string | undefined {
   return typeof parameters[0] === 'string'
     ? undefined
     : 'The first parameter must be text.';
 }
 
-function amountFault(parameters: Parameters): string | undefined {
+function validateAmount(parameters: Parameters): string | undefined {
   return typeof parameters[1] === 'number'
-    ? nameFault(parameters)
+    ? validateName(parameters)
     : 'The second parameter must be a number.';
 }
 
-function durationFault(parameters: Parameters): string | undefined {
+function validateDuration(parameters: Parameters): string | undefined {
   const [duration] = parameters;
   return typeof duration === 'number' && duration >= 0
     ? undefined
     : 'The parameter must be milliseconds.';
 }
 
-/** Names are checked before an operation runs. */
+/** The first parameter as text; it was validated before execution. */
 function nameOf(parameters: Parameters): string {
   return String(parameters[0]);
 }
@@ -76,7 +76,7 @@
     'get ?',
     {
       writes: false,
-      findFault: nameFault,
+      validate: validateName,
       run(parameters, tables) {
         const value = tables.value(nameOf(parameters));
         return Ok(value === undefined ? [] : [[value]]);
@@ -87,19 +87,19 @@
     'set ? ?',
     {
       writes: true,
-      findFault: nameFault,
+      validate: validateName,
       run(parameters, tables) {
         tables.setValue(nameOf(parameters), operandOf(parameters));
         return Ok([]);
       },
     },
   ],
-  ['add ? ?', {writes: true, findFault: amountFault, run: add}],
+  ['add ? ?', {writes: true, validate: validateAmount, run: add}],
   [
     'append ? ?',
     {
       writes: true,
-      findFault: nameFault,
+      validate: validateName,
       run(parameters, tables) {
         const name = nameOf(parameters);
         tables.append(name, operandOf(parameters));
@@ -111,7 +111,7 @@
     'list ?',
     {
       writes: false,
-      findFault: nameFault,
+      validate: validateName,
       run: (parameters, tables) =>
         Ok(tables.list(nameOf(parameters)).map(entry => [entry])),
     },
@@ -120,25 +120,28 @@
     'count ?',
     {
       writes: false,
-      findFault: nameFault,
+      validate: validateName,
       run: (parameters, tables) =>
         Ok([[tables.listLength(nameOf(parameters))]]),
     },
   ],
-  ['sleep ?', {writes: false, findFault: durationFault, run: () => Ok([])}],
+  ['sleep ?', {writes: false, validate: validateDuration, run: () => Ok([])}],
 ]);
 
-const SLEEP = 'sleep ?';
+const SLEEP_TEXT = 'sleep ?';
 
-function failed(message: string): Failure {
+function statementFailure(message: string): Failure {
   return createFailure('STATEMENT_FAILED', {message});
 }
 
-function placeholders(text: string): number {
+function countPlaceholders(text: string): number {
   return text.split('?').length - 1;
 }
 
-/** Checks a statement against its mode. */
+/**
+ * Validates a statement, its parameters and its mode. Fails with
+ * `STATEMENT_FAILED`.
+ */
 export function prepareStatement(
   statement: Statement,
   mode: StatementMode,
@@ -146,20 +149,20 @@
   const {text, parameters} = statement;
   const operation = OPERATIONS.get(text);
   if (operation === undefined) {
-    return Err(failed('No such statement.'));
+    return Err(statementFailure('No such statement.'));
   }
   if (operation.writes && mode === 'read') {
-    return Err(failed('The statement writes.'));
+    return Err(statementFailure('The statement writes.'));
   }
-  if (parameters.length !== placeholders(text)) {
-    return Err(failed('Wrong number of parameters.'));
+  if (parameters.length !== countPlaceholders(text)) {
+    return Err(statementFailure('Wrong number of parameters.'));
   }
-  const fault = operation.findFault(parameters);
-  if (fault !== undefined) {
-    return Err(failed(fault));
+  const parameterError = operation.validate(parameters);
+  if (parameterError !== undefined) {
+    return Err(statementFailure(parameterError));
   }
   return Ok({
-    extraTime: text === SLEEP ? Number(parameters[0]) : 0,
-    run: tables => operation.run(parameters, tables).mapErr(failed),
+    extraTime: text === SLEEP_TEXT ? Number(parameters[0]) : 0,
+    run: tables => operation.run(parameters, tables).mapErr(statementFailure),
   });
 }
--- a/packages/stand-ins/src/database/store.ts
+++ b/packages/stand-ins/src/database/store.ts
@@ -1,6 +1,7 @@
 /**
- * Log, tables and keys of one database. A replica that lags has received
- * records that are not applied yet; they don't count as part of its log.
+ * Log, tables and idempotency keys of one database. A lagging replica holds
+ * received records that are not applied yet; `end`, `history` and
+ * `configuration` leave these out.
  */
 import {
   Configuration,
@@ -17,50 +18,50 @@
 import {Ok, Result} from 'ts-results';
 
 import type {IdempotencyKeys} from './idempotency_keys';
-import {LogOutline, createReplicatedLog, historyUpTo} from './replicated_log';
+import {LogSummary, createReplicatedLog, historyUpTo} from './replicated_log';
 import {prepareStatement} from './statements';
 import {CommittedTables, createCommittedTables} from './tables';
 
-/** What a primary writes as one record. */
+/** Contents of a record that a primary writes. */
 export interface NewRecord {
   readonly term: number;
   readonly statements: Statement[];
   readonly key?: IdempotencyKey;
   readonly cancelsKey?: boolean;
   readonly configuration?: Configuration | undefined;
-  /** Whether the rows of the last statement are the answer. */
+  /** If true, the write answers with the rows of the last statement. */
   readonly answersRows: boolean;
 }
 
-/** The answer to a write. */
-export interface Written {
+/** Result of a write. */
+export interface WriteResult {
   readonly rows: Rows;
   readonly at: LogPosition;
 }
 
-/** The data of one database. */
+/** Log, tables and keys of one database. */
 export interface Store {
   readonly tables: CommittedTables;
   readonly keys: IdempotencyKeys;
-  /** End of the log that is applied. */
+  /** End of the applied log. */
   end(): LogPosition;
   history(): TermHistory;
-  /** The newest configuration in the log that is applied. */
+  /** Latest configuration in the applied log. */
   configuration(): LoggedConfiguration | undefined;
-  /** Log with the records that are received but not applied. */
-  received(): LogOutline;
+  /** Outline of the whole log, including records not applied yet. */
+  received(): LogSummary;
   recordsAfter(position: number, limit: number): LogRecord[];
-  /** Runs statements and appends their record; a failure changes nothing. */
-  write(record: NewRecord): Result<Written, Failure>;
-  /** Takes records that follow the received end. */
+  /** Executes statements and appends one record; a failure changes nothing. */
+  write(record: NewRecord): Result<WriteResult, Failure>;
+  /** Appends received records; skips any that don't follow the log's end. */
   receive(records: readonly LogRecord[]): void;
   /** Applies received records up to a position. */
   applyUpTo(position: number): void;
-  /** Drops records beyond a position and undoes them. */
+  /** Removes the records after a position and reverts their effects. */
   truncate(keep: number): void;
 }
 
-/** What a store is made of. */
+/** Options of `createStore`. */
 export interface StoreOptions {
   readonly keys: IdempotencyKeys;
   /** Called after each change of the applied log. */
@@ -87,7 +88,7 @@
     return answer;
   }
 
-  function write(newRecord: NewRecord): Result<Written, Failure> {
+  function write(newRecord: NewRecord): Result<WriteResult, Failure> {
     const {term, statements, key, cancelsKey, answersRows} = newRecord;
     const {configuration} = newRecord;
     const at = {term, position: end.position + 1};
--- a/packages/stand-ins/src/database/tables.ts
+++ b/packages/stand-ins/src/database/tables.ts
@@ -1,7 +1,7 @@
-/** The data of a database: values and lists by name. */
+/** Data of a database: named values and named lists. */
 import type {Scalar} from '@kelpstep/protocol';
 
-/** What statements read and write. */
+/** Data access of statements. */
 export interface Tables {
   value(key: string): Scalar | undefined;
   setValue(key: string, value: Scalar): void;
@@ -10,21 +10,21 @@
   append(name: string, entry: Scalar): void;
 }
 
-/** The committed data. */
+/** Committed data, with the log position of the last write to each item. */
 export interface CommittedTables extends Tables {
-  /** Names the log position of the writes that follow. */
+  /** Sets the log position of the writes that follow. */
   setPosition(position: number): void;
-  /** Position of the last write to a value or list; 0 if there is none. */
+  /** Position of the last write to a value or list; 0 if never written. */
   versionOf(item: string): number;
   clear(): void;
 }
 
-/** Names the item of a value. */
+/** Item key of a value. */
 function valueItem(key: string): string {
   return `value ${key}`;
 }
 
-/** Names the item of a list. */
+/** Item key of a list. */
 function listItem(name: string): string {
   return `list ${name}`;
 }
@@ -69,51 +69,54 @@
   };
 }
 
-/** A transaction's view: the committed data under its own writes. */
+/** View of a transaction: the committed data overlaid with its own writes. */
 export interface TransactionTables extends Tables {
-  /** True if another wrote, since, what this transaction read or wrote. */
+  /**
+   * True if an item that this transaction read or wrote has been written
+   * outside it since its first access.
+   */
   hasConflict(): boolean;
 }
 
-/** Creates the view of a transaction that begins now. */
+/** Creates the view of a new transaction. */
 export function createTransactionTables(
   committed: CommittedTables,
 ): TransactionTables {
   const values = new Map<string, Scalar>();
   const appended = new Map<string, Scalar[]>();
-  const touched = new Map<string, number>();
+  const accessedVersions = new Map<string, number>();
 
-  function touch(item: string): void {
-    if (!touched.has(item)) {
-      touched.set(item, committed.versionOf(item));
+  function recordAccess(item: string): void {
+    if (!accessedVersions.has(item)) {
+      accessedVersions.set(item, committed.versionOf(item));
     }
   }
 
   function hasConflict(): boolean {
-    return [...touched].some(
+    return [...accessedVersions].some(
       ([item, version]) => committed.versionOf(item) !== version,
     );
   }
 
   return {
     value(key) {
-      touch(valueItem(key));
+      recordAccess(valueItem(key));
       return values.has(key) ? values.get(key) : committed.value(key);
     },
     setValue(key, value) {
-      touch(valueItem(key));
+      recordAccess(valueItem(key));
       values.set(key, value);
     },
     list(name) {
-      touch(listItem(name));
+      recordAccess(listItem(name));
       return [...committed.list(name), ...(appended.get(name) ?? [])];
     },
     listLength(name) {
-      touch(listItem(name));
+      recordAccess(listItem(name));
       return committed.listLength(name) + (appended.get(name)?.length ?? 0);
     },
     append(name, entry) {
-      touch(listItem(name));
+      recordAccess(listItem(name));
       appended.set(name, [...(appended.get(name) ?? []), entry]);
     },
     hasConflict,
--- a/packages/stand-ins/src/database/transactions.ts
+++ b/packages/stand-ins/src/database/transactions.ts
@@ -1,4 +1,4 @@
-/** The open transactions of a database. */
+/** Manages the open transactions of a database. */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Err, Ok, Result} from 'ts-results';
 
@@ -7,19 +7,20 @@
 import type {Store} from './store';
 import {createTransactionTables} from './tables';
 
-/** The open transactions, each bound to its connection. */
+/** Open transactions; a session has at most one. */
 export interface Transactions {
   begin(session: Session, term: number): Result<Transaction, Failure>;
-  /** The transaction of this id on this connection. */
+  /** Returns the session's transaction if it has this id. */
   find(session: Session, id: string): Result<Transaction, Failure>;
-  /** Ends the connection's transaction and gives its slot back. */
+  /** Ends the session's transaction, if any, and releases its slot. */
   end(session: Session): void;
-  /** Rolls all back, as when the database stops being primary. */
+  /** Rolls back all transactions when the database is no longer primary. */
   rollBackAll(): void;
+  /** Number of open transactions. */
   open(): number;
 }
 
-/** Creates an empty set; ids differ between incarnations. */
+/** Creates an empty set; transaction ids start with the incarnation. */
 export function createTransactions(
   store: Store,
   slots: SlotPool,
