--- a/packages/stand-ins/src/statement_group/link_network.ts
+++ b/packages/stand-ins/src/statement_group/link_network.ts
@@ -1,14 +1,18 @@
 /**
- * Messages between named places in virtual time. A cut holds messages back; they
- * arrive when it heals, as on a connection that sends again.
+ * Messages between named nodes in virtual time. A partition holds messages back
+ * until it heals, like a TCP connection that retransmits.
  */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** Delivers messages with a delay, in order for each pair of places. */
+/**
+ * Delivers messages between nodes after a delay. The messages of a pair arrive
+ * in order if the delay is constant and no partition begins during transit.
+ */
 export interface LinkNetwork {
   /**
-   * What a cut holds back is lost if `isReset` is true once it heals: the sender
-   * has reset the connection.
+   * Sends a message; `receive` is called when it arrives. A message held back
+   * by a partition is dropped if `isReset` returns true when the partition
+   * heals: the sender has reset the connection by then.
    */
   deliver(
     from: string,
@@ -26,12 +30,12 @@
   return left < right ? `${left}|${right}` : `${right}|${left}`;
 }
 
-/** Creates a network without cuts. */
+/** Creates a network without partitions. */
 export function createLinkNetwork(
   timer: TimerService,
   delay: (from: string, to: string) => Milliseconds,
 ): LinkNetwork {
-  const held = new Map<string, Array<() => void>>();
+  const heldMessages = new Map<string, Array<() => void>>();
 
   function deliver(
     from: string,
@@ -39,33 +43,33 @@
     receive: () => void,
     isReset: () => boolean = () => false,
   ): void {
-    function sendAgain(): void {
+    function resend(): void {
       if (!isReset()) {
         deliver(from, to, receive, isReset);
       }
     }
 
-    /** A cut that began on the way holds the message too. */
+    /** Also holds a message if the partition began while it was in transit. */
     function arrive(): void {
-      const waiting = held.get(pairOf(from, to));
+      const waiting = heldMessages.get(pairOf(from, to));
       if (waiting === undefined) {
         receive();
       } else {
-        waiting.push(sendAgain);
+        waiting.push(resend);
       }
     }
 
-    const waiting = held.get(pairOf(from, to));
+    const waiting = heldMessages.get(pairOf(from, to));
     if (waiting === undefined) {
       timer.after(delay(from, to), arrive);
     } else {
-      waiting.push(sendAgain);
+      waiting.push(resend);
     }
   }
 
   function healPair(pair: string): void {
-    const waiting = held.get(pair) ?? [];
-    held.delete(pair);
+    const waiting = heldMessages.get(pair) ?? [];
+    heldMessages.delete(pair);
     waiting.forEach(send => send());
   }
 
@@ -73,10 +77,10 @@
     deliver,
     cut(left, right) {
       const pair = pairOf(left, right);
-      held.set(pair, held.get(pair) ?? []);
+      heldMessages.set(pair, heldMessages.get(pair) ?? []);
     },
     heal: (left, right) => healPair(pairOf(left, right)),
-    healAll: () => [...held.keys()].forEach(healPair),
-    isCut: (left, right) => held.has(pairOf(left, right)),
+    healAll: () => [...heldMessages.keys()].forEach(healPair),
+    isCut: (left, right) => heldMessages.has(pairOf(left, right)),
   };
 }
--- /dev/null
+++ b/packages/stand-ins/src/statement_group/pending_commits.ts
@@ -0,0 +1,35 @@
+/** Commits of a primary that are not yet acknowledged by a replica. */
+import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
+
+interface PendingCommit {
+  readonly position: LogPosition;
+  readonly done: () => void;
+}
+
+/** The unacknowledged commits of one primary. */
+export interface PendingCommits {
+  /** Calls `done` once a replica has received the log up to a position. */
+  add(position: LogPosition, done: () => void): void;
+  /** Reports that a replica has received the log up to a position. */
+  acknowledge(position: LogPosition): void;
+  /** Discards all commits unanswered, e.g. after a demotion. */
+  clear(): void;
+}
+
+/** Creates an empty set of commits. */
+export function createPendingCommits(): PendingCommits {
+  let pending: PendingCommit[] = [];
+  return {
+    add: (position, done) => void pending.push({position, done}),
+    acknowledge(position) {
+      const done = pending.filter(
+        commit => compareLogPositions(commit.position, position) <= 0,
+      );
+      pending = pending.filter(commit => !done.includes(commit));
+      done.forEach(commit => commit.done());
+    },
+    clear() {
+      pending = [];
+    },
+  };
+}
--- a/packages/stand-ins/src/statement_group/run_record.ts
+++ b/packages/stand-ins/src/statement_group/run_record.ts
@@ -1,45 +1,48 @@
-/** What targets saw and did; a checker judges proxies by it. */
+/** Records what targets executed, so that tests can check the proxies. */
 import type {LogPosition} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** A statement that a target ran. */
+/** A statement that a target executed. */
 export interface StatementRun {
   readonly kind: 'read' | 'write' | 'commit';
   readonly id: string;
   readonly target: string;
   readonly group: string;
-  /** Who the connection was opened for; undefined: a proxy itself. */
+  /** User of the connection; undefined if the proxy opened it for itself. */
   readonly user: string | undefined;
   readonly at: Milliseconds;
-  /** End of the applied log that the statement saw. */
+  /** End of the applied log when the statement ran. */
   readonly position: LogPosition;
-  /** Values of the connection. */
+  /** Session values of the connection. */
   readonly values: ReadonlyMap<string, string>;
-  /** What a prepared name stood for; undefined for plain statements. */
+  /** Shape of the prepared statement; undefined for a plain statement. */
   readonly shape: string | undefined;
-  /** Connection and, inside a transaction, the transaction on it. */
+  /** Number of the connection. */
   readonly connection: number;
+  /** Number of the transaction; undefined outside a transaction. */
   readonly transaction: number | undefined;
 }
 
-/** A commit in a target's log. */
+/** A committed record in a target's log. */
 export interface LogRecord {
   readonly position: LogPosition;
-  /** Ids of the caller's statements that it holds. */
+  /** Ids of the callers' write statements in this record. */
   readonly writes: readonly string[];
 }
 
-/** A change of primary. */
+/** A promotion of a target to primary. */
 export interface PromotionRecord {
   readonly group: string;
   readonly target: string;
   readonly epoch: number;
+  /** Proxy that ordered the promotion. */
   readonly holder: string;
+  /** Log of the new primary at the promotion. */
   readonly log: readonly LogRecord[];
   readonly at: Milliseconds;
 }
 
-/** Takes what targets saw. */
+/** Receives the events of targets. */
 export interface RunRecorder {
   onRun(run: StatementRun): void;
   onPromotion(promotion: PromotionRecord): void;
--- a/packages/stand-ins/src/statement_group/stand_in_group.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_group.ts
@@ -1,6 +1,6 @@
 /**
- * A group of stand-in targets: replication between them, promotion as the
- * platform does it, and connections of proxies.
+ * A group of stand-in targets in virtual time, with replication, promotion as
+ * on the platform, and connections from proxies.
  */
 import {EMPTY_LOG_END, type LogPosition} from '@kelpstep/protocol';
 import {
@@ -26,7 +26,7 @@
 import {createStandInTarget} from './stand_in_target';
 import type {StandInTarget} from './stand_in_target_types';
 
-/** How a group behaves. */
+/** Options of `createStandInGroup`. */
 export interface StandInGroupOptions {
   readonly timer: TimerService;
   readonly network: LinkNetwork;
@@ -36,23 +36,30 @@
   readonly slots: number;
   readonly connectionLimit: number;
   readonly workTime: Milliseconds;
-  /** Time of a slot that a new connection takes; none by default. */
+  /** Time for which a new connection occupies a slot; 0 by default. */
   readonly openingTime?: Milliseconds;
   readonly promotionTime: Milliseconds;
+  /** Delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
-  /** How late an order to a target is carried out; 0: at once. */
+  /**
+   * Delay of the next pause, resume or demote command to a target. A delayed
+   * command is not answered; 0 executes and answers it immediately.
+   */
   orderDelay(): Milliseconds;
-  /** True if the answer to this statement is to be lost. */
+  /** Called for each batch of requests; true drops its answers. */
   losesAnswer(): boolean;
 }
 
-/** A group with what a test may do to it. */
+/** A group and its test controls. */
 export interface StandInGroup {
   readonly group: string;
   target(name: string): StandInTarget;
   targets(): readonly StandInTarget[];
   primary(): StandInTarget | undefined;
-  /** Opens a connection from a place of the network. */
+  /**
+   * Opens a connection from a node of the network and runs the first requests
+   * on it.
+   */
   open(
     from: string,
     address: TargetAddress,
@@ -60,14 +67,18 @@
     timeout: Milliseconds,
     firstRequests?: readonly TargetRequest[],
   ): Future<Result<OpenedConnection, OpenFailure>>;
-  /** Carries out a promotion; false if a higher epoch was seen. */
+  /**
+   * Starts a promotion. Returns false if the target is not running or a higher
+   * epoch has been used before.
+   */
   promote(target: string, epoch: number, holder: string): boolean;
-  /** Ends a target's process and its connections. */
+  /** Kills a target's process and closes its connections. */
   crash(name: string): void;
+  /** Starts a target's process again, with an empty log if it is wiped. */
   restart(name: string, wiped: boolean): void;
 }
 
-/** A connection as the target sees it. */
+/** A new connection and the function that runs requests on its target. */
 interface AcceptedConnection {
   readonly connection: TargetConnection;
   run(
@@ -76,16 +87,16 @@
   ): void;
 }
 
-/** Creates a group whose first target leads term 1. */
+/** Creates a group whose first target is the primary of term 1. */
 export function createStandInGroup(options: StandInGroupOptions): StandInGroup {
   const {timer, network, recorder, group} = options;
   const targets = new Map<string, StandInTarget>();
-  const closers = new Map<string, Set<() => void>>();
-  let leaderName = options.targets[0] ?? '';
+  const closersByTarget = new Map<string, Set<() => void>>();
+  let primaryName = options.targets[0] ?? '';
   let term = 1;
   let highestEpoch = 0;
 
-  function others(name: string): StandInTarget[] {
+  function otherTargets(name: string): StandInTarget[] {
     return [...targets.values()].filter(({target}) => target !== name);
   }
 
@@ -95,7 +106,7 @@
     record: LogRecord,
   ): void {
     const senderTerm = from.term();
-    for (const replica of others(from.target)) {
+    for (const replica of otherTargets(from.target)) {
       network.deliver(from.target, replica.target, () => {
         if (replica.receive(senderTerm, previous, [record])) {
           network.deliver(replica.target, from.target, () =>
@@ -120,34 +131,35 @@
       onAppended: (previous, record) => replicate(created, previous, record),
     });
     targets.set(name, created);
-    closers.set(name, new Set());
+    closersByTarget.set(name, new Set());
   }
-  targets.get(leaderName)?.lead(term);
+  targets.get(primaryName)?.becomePrimary(term);
 
-  /** Replicas that missed records get them with the next round. */
-  timer.every(CATCH_UP_PERIOD, () => {
-    const leader = targets.get(leaderName);
-    if (leader?.isRunning() && leader.role() === 'primary') {
-      for (const replica of others(leaderName)) {
-        network.deliver(leaderName, replica.target, () =>
-          catchUp(leader, replica),
+  // Sends the whole log at an interval to replicas that missed records.
+  timer.every(CATCH_UP_INTERVAL_MS, () => {
+    const primary = targets.get(primaryName);
+    if (primary?.isRunning() && primary.role() === 'primary') {
+      for (const replica of otherTargets(primaryName)) {
+        network.deliver(primaryName, replica.target, () =>
+          catchUp(primary, replica),
         );
       }
     }
   });
 
-  function catchUp(leader: StandInTarget, replica: StandInTarget): void {
-    if (!replica.isRunning() || leader.role() !== 'primary') {
+  function catchUp(primary: StandInTarget, replica: StandInTarget): void {
+    if (!replica.isRunning() || primary.role() !== 'primary') {
       return;
     }
-    if (replica.term() < leader.term()) {
-      replica.follow(leader.term(), leader.log());
+    if (replica.term() < primary.term()) {
+      replica.follow(primary.term(), primary.log());
     }
-    if (replica.receive(leader.term(), EMPTY_LOG_END, leader.log())) {
-      // As it is now: held back, it must not tell what came from a later term.
+    if (replica.receive(primary.term(), EMPTY_LOG_END, primary.log())) {
+      // Read now: if the message is delayed, it must not acknowledge records of
+      // a later term.
       const received = replica.received();
-      network.deliver(replica.target, leader.target, () =>
-        leader.acknowledge(received),
+      network.deliver(replica.target, primary.target, () =>
+        primary.acknowledge(received),
       );
     }
   }
@@ -158,20 +170,26 @@
       return false;
     }
     highestEpoch = epoch;
-    if (next.role() === 'primary' && name === leaderName) {
+    if (next.role() === 'primary' && name === primaryName) {
       return true;
     }
-    timer.after(options.promotionTime, () => takeLead(next, epoch, holder));
+    timer.after(options.promotionTime, () =>
+      completePromotion(next, epoch, holder),
+    );
     return true;
   }
 
-  function takeLead(next: StandInTarget, epoch: number, holder: string): void {
+  function completePromotion(
+    next: StandInTarget,
+    epoch: number,
+    holder: string,
+  ): void {
     if (!next.isRunning() || epoch < highestEpoch) {
       return;
     }
     term += 1;
-    leaderName = next.target;
-    next.lead(term);
+    primaryName = next.target;
+    next.becomePrimary(term);
     recorder.onPromotion({
       group,
       target: next.target,
@@ -180,8 +198,8 @@
       log: [...next.log()],
       at: timer.now(),
     });
-    for (const other of others(next.target)) {
-      // One that can't be told goes on as it was until it can.
+    for (const other of otherTargets(next.target)) {
+      // An unreachable target keeps its role until the message arrives.
       network.deliver(next.target, other.target, () => {
         if (other.isRunning() && other.term() < next.term()) {
           other.follow(next.term(), next.log());
@@ -195,21 +213,21 @@
     target: StandInTarget,
     session: number,
   ): AcceptedConnection {
-    const ends = closers.get(target.target) ?? new Set();
+    const closers = closersByTarget.get(target.target) ?? new Set();
     const waiting = new Set<(loss: ConnectionLoss) => void>();
     const listeners: Array<() => void> = [];
     const batches: Array<() => void> = [];
     let isOpen = true;
 
-    /** A connection's statements run one after the other. */
-    function inTurn(start: () => void): void {
+    /** Runs the batches of a connection one after another. */
+    function enqueueBatch(start: () => void): void {
       batches.push(start);
       if (batches.length === 1) {
         start();
       }
     }
 
-    function nextTurn(): void {
+    function startNextBatch(): void {
       batches.shift();
       batches[0]?.();
     }
@@ -224,37 +242,37 @@
     }
 
     function close(): void {
-      // The target holds the connection until it hears of its end.
+      // The target keeps the session until the close message arrives.
       network.deliver(from, target.target, () => {
         target.endSession(session);
-        ends.delete(lose);
+        closers.delete(resetConnection);
       });
       end();
     }
 
-    function lose(): void {
+    function resetConnection(): void {
       network.deliver(target.target, from, end);
     }
 
-    /** Runs requests that have arrived, one after the other. */
+    /** Runs the requests of a batch one after another. */
     function run(
       requests: readonly TargetRequest[],
       done: (answers: readonly StatementAnswer[]) => void,
     ): void {
       const answers: StatementAnswer[] = [];
-      function step(): void {
+      function runNextRequest(): void {
         const request = requests[answers.length];
         if (request === undefined) {
-          nextTurn();
+          startNextBatch();
           done(answers);
           return;
         }
         target.handle(session, request, answer => {
           answers.push(answer);
-          step();
+          runNextRequest();
         });
       }
-      inTurn(step);
+      enqueueBatch(runNextRequest);
     }
 
     const connection: TargetConnection = {
@@ -271,7 +289,7 @@
         }
         waiting.add(settle);
         const cancel = timer.after(timeout, () => settle('timed out'));
-        function answered(answers: readonly StatementAnswer[]): void {
+        function sendAnswers(answers: readonly StatementAnswer[]): void {
           if (options.losesAnswer()) {
             return;
           }
@@ -286,7 +304,7 @@
         network.deliver(
           from,
           target.target,
-          () => run(requests, answered),
+          () => run(requests, sendAnswers),
           () => !isOpen,
         );
         return result.future;
@@ -295,7 +313,7 @@
       close,
       onClosed: listener => void listeners.push(listener),
     };
-    ends.add(lose);
+    closers.add(resetConnection);
     return {connection, run};
   }
 
@@ -319,7 +337,7 @@
 
     network.deliver(from, address.target, () => {
       const target = targets.get(address.target);
-      const count = closers.get(address.target)?.size ?? 0;
+      const count = closersByTarget.get(address.target)?.size ?? 0;
       if (target === undefined || !target.isRunning()) {
         reply(Err('refused'));
         return;
@@ -339,17 +357,17 @@
     return result.future;
   }
 
-  function existing(name: string): StandInTarget {
+  function requireTarget(name: string): StandInTarget {
     const found = targets.get(name);
     if (found === undefined) {
-      throw new Error(`No target ${name} in ${group}.`);
+      throw new Error(`Unknown target ${name} in group ${group}.`);
     }
     return found;
   }
 
   return {
     group,
-    target: existing,
+    target: requireTarget,
     targets: () => [...targets.values()],
     primary: () =>
       [...targets.values()].find(
@@ -358,14 +376,14 @@
     open,
     promote,
     crash(name) {
-      existing(name).stop();
-      const ends = closers.get(name) ?? new Set();
-      closers.set(name, new Set());
-      ends.forEach(end => end());
+      requireTarget(name).stop();
+      const closers = closersByTarget.get(name) ?? new Set();
+      closersByTarget.set(name, new Set());
+      closers.forEach(end => end());
     },
-    restart: (name, wiped) => existing(name).start(wiped),
+    restart: (name, wiped) => requireTarget(name).start(wiped),
   };
 }
 
-/** How often a primary offers its log to replicas that missed a part of it. */
-const CATCH_UP_PERIOD: Milliseconds = 100;
+/** Interval at which a primary sends its whole log to the replicas. */
+const CATCH_UP_INTERVAL_MS: Milliseconds = 100;
--- a/packages/stand-ins/src/statement_group/stand_in_store.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_store.ts
@@ -1,4 +1,4 @@
-/** The platform's table store in virtual time, with its faults. */
+/** The platform's table store in virtual time, with fault injection. */
 import type {
   StoreFailure,
   StoredRow,
@@ -14,58 +14,58 @@
 } from '@kelpstep/runtime';
 import {Err, Ok, type Result} from 'ts-results';
 
-/** What may go wrong at the store. */
+/** Injected faults of the store. */
 export interface StoreFaults {
-  /** Clients that are refused, or all. */
+  /** Clients whose calls are refused. */
   refused: Set<string> | 'all';
-  /** Clients that get no answer at all. */
+  /** Clients whose calls get no answer. */
   silent: Set<string> | 'all';
-  /** Tables about which those get no answer. */
+  /** Tables for which the `silent` clients get no answer. */
   silentTables: Set<string> | 'all';
-  /** Share of writes that are done and not answered. */
+  /** Share of writes that take effect but get no answer, 0 to 1. */
   lostAnswers: number;
-  /** Share of writes that are not answered and done this much later. */
+  /** Share of writes that get no answer and take effect late, 0 to 1. */
   lateWrites: number;
 }
 
-/** A store with what a test may do to it. */
+/** A table store and its test controls. */
 export interface StandInStore {
-  /** The store as a client sees it. */
+  /** Returns the store interface of a named client. */
   clientOf(name: string): TableStore;
-  /** Writes without conditions, as the operator and targets do. */
+  /** Writes a row without a version check, as the operator and targets do. */
   put(table: string, key: string, value: unknown): void;
   remove(table: string, key: string): void;
-  /** Forgets the history of changes. */
+  /** Deletes the change history; older change requests fail from now on. */
   compact(): void;
   /**
-   * The connections of questions that are open now fall silent: none of them is
-   * answered. New questions are. All tables if none is named.
+   * Drops the pending change requests of a table, or of all tables by default.
+   * They get no answer; later requests are not affected.
    */
   loseOpenQuestions(table?: string): void;
-  /** Calls so far, refused ones too. */
+  /** Number of calls so far, including refused ones. */
   calls(): number;
   readonly faults: StoreFaults;
 }
 
-/** How a store behaves. */
+/** Options of `createStandInStore`. */
 export interface StandInStoreOptions {
   readonly timer: TimerService;
   readonly random: Random;
   readonly answerTime: Milliseconds;
 }
 
-/** Longest time after which a write without an answer is done. */
-const LONGEST_DELAY: Milliseconds = 6000;
-/** Time after which a client gives up a call. */
-const SILENCE_TIMEOUT: Milliseconds = 1200;
-/** The same for a question, beyond the wait that it asked for. */
-const QUESTION_SLACK: Milliseconds = 700;
+/** Maximum delay of a late write. */
+const MAXIMUM_WRITE_DELAY_MS: Milliseconds = 6000;
+/** Time after which an unanswered call fails. */
+const CALL_TIMEOUT_MS: Milliseconds = 1200;
+/** Time after which an unanswered change request fails, added to its wait. */
+const CHANGE_REQUEST_GRACE_MS: Milliseconds = 700;
 
-/** A question for changes that isn't answered yet. */
-interface OpenQuestion {
+/** A request for changes that is waiting for an answer. */
+interface ChangeRequest {
   readonly table: string;
-  /** Answers if there is something to tell, or the wait is over. */
-  look(): void;
+  /** Answers if there are changes, the request fails or its wait is over. */
+  answerIfReady(): void;
 }
 
 /** Creates an empty store. */
@@ -82,8 +82,8 @@
   };
   let calls = 0;
   let version = 0;
-  let historyFrom = 0;
-  const questions = new Set<OpenQuestion>();
+  let historyStart = 0;
+  const pendingRequests = new Set<ChangeRequest>();
 
   function tableOf(name: string): Map<string, StoredRow> {
     const table = tables.get(name) ?? new Map<string, StoredRow>();
@@ -91,14 +91,14 @@
     return table;
   }
 
-  function changed(): void {
-    [...questions].forEach(({look}) => look());
+  function answerReadyRequests(): void {
+    [...pendingRequests].forEach(({answerIfReady}) => answerIfReady());
   }
 
   function put(table: string, key: string, value: unknown): number {
     version += 1;
     tableOf(table).set(key, {key, value, version, isRemoved: false});
-    changed();
+    answerReadyRequests();
     return version;
   }
 
@@ -107,15 +107,18 @@
     tableOf(table).delete(key);
     const row = {key, value: undefined, version, isRemoved: true};
     removed.set(table, [...(removed.get(table) ?? []), row]);
-    changed();
+    answerReadyRequests();
   }
 
-  function hits(names: Set<string> | 'all', name: string): boolean {
+  function includesName(names: Set<string> | 'all', name: string): boolean {
     return names === 'all' || names.has(name);
   }
 
   function isSilentTo(client: string, table: string): boolean {
-    return hits(faults.silent, client) && hits(faults.silentTables, table);
+    return (
+      includesName(faults.silent, client) &&
+      includesName(faults.silentTables, table)
+    );
   }
 
   function changesAfter(table: string, after: number): StoredRow[] {
@@ -125,7 +128,7 @@
   }
 
   function clientOf(name: string): TableStore {
-    /** Answers after the store's time, unless the store is away. */
+    /** Answers after `answerDelay`, unless a fault prevents it. */
     function call<T>(
       table: string,
       answer: (settle: (reply: Result<T, StoreFailure>) => void) => void,
@@ -134,8 +137,8 @@
       calls += 1;
       timer.after(answerTime, () => {
         if (isSilentTo(name, table)) {
-          timer.after(SILENCE_TIMEOUT, () => result.settle(Err('unanswered')));
-        } else if (hits(faults.refused, name)) {
+          timer.after(CALL_TIMEOUT_MS, () => result.settle(Err('unanswered')));
+        } else if (includesName(faults.refused, name)) {
           result.settle(Err('refused'));
         } else {
           answer(result.settle);
@@ -145,10 +148,10 @@
     }
 
     /**
-     * Asked while the store is silent, a question is lost. One that is open then
-     * is answered once the silence ends.
+     * Waits for changes. A request that arrives while the store doesn't answer
+     * is lost. A pending one is answered after the store answers again.
      */
-    function ask(
+    function awaitChanges(
       table: string,
       after: number,
       wait: Milliseconds,
@@ -159,18 +162,18 @@
       calls += 1;
 
       function end(reply: Result<TableChanges, StoreFailure>): void {
-        questions.delete(question);
+        pendingRequests.delete(request);
         cancelTimeout();
         result.settle(reply);
       }
 
-      function look(): void {
+      function answerIfReady(): void {
         if (isSilent()) {
           return;
         }
-        if (after < historyFrom) {
+        if (after < historyStart) {
           end(Err('history lost'));
-        } else if (hits(faults.refused, name)) {
+        } else if (includesName(faults.refused, name)) {
           end(Err('unanswered'));
         } else {
           const rows = changesAfter(table, after);
@@ -182,20 +185,20 @@
 
       function endWait(): void {
         isWaitOver = true;
-        look();
+        answerIfReady();
       }
 
-      const question: OpenQuestion = {table, look};
-      const cancelTimeout = timer.after(wait + QUESTION_SLACK, () =>
+      const request: ChangeRequest = {table, answerIfReady};
+      const cancelTimeout = timer.after(wait + CHANGE_REQUEST_GRACE_MS, () =>
         end(Err('unanswered')),
       );
       timer.after(answerTime, () => {
-        if (hits(faults.refused, name)) {
+        if (includesName(faults.refused, name)) {
           end(Err('refused'));
         } else if (!isSilent()) {
-          questions.add(question);
+          pendingRequests.add(request);
           timer.after(wait, endWait);
-          look();
+          answerIfReady();
         }
       });
       return result.future;
@@ -218,18 +221,18 @@
         call(table, settle =>
           settle(Ok({rows: [...tableOf(table).values()], version})),
         ),
-      awaitChanges: ask,
+      awaitChanges,
       replaceRow: (table, key, expected, value) =>
         call(table, settle => {
           if (random.fraction() < faults.lateWrites) {
-            const delay = LONGEST_DELAY * random.fraction();
+            const delay = MAXIMUM_WRITE_DELAY_MS * random.fraction();
             timer.after(delay, () => replace(table, key, expected, value));
-            timer.after(SILENCE_TIMEOUT, () => settle(Err('unanswered')));
+            timer.after(CALL_TIMEOUT_MS, () => settle(Err('unanswered')));
             return;
           }
           const reply = replace(table, key, expected, value);
           if (random.fraction() < faults.lostAnswers) {
-            timer.after(SILENCE_TIMEOUT, () => settle(Err('unanswered')));
+            timer.after(CALL_TIMEOUT_MS, () => settle(Err('unanswered')));
           } else {
             settle(reply);
           }
@@ -242,14 +245,14 @@
     put: (table, key, value) => void put(table, key, value),
     remove,
     compact() {
-      historyFrom = version;
+      historyStart = version;
       removed.clear();
-      changed();
+      answerReadyRequests();
     },
     loseOpenQuestions(table) {
-      for (const question of questions) {
-        if (table === undefined || question.table === table) {
-          questions.delete(question);
+      for (const request of pendingRequests) {
+        if (table === undefined || request.table === table) {
+          pendingRequests.delete(request);
         }
       }
     },
--- a/packages/stand-ins/src/statement_group/stand_in_target.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target.ts
@@ -1,4 +1,4 @@
-/** A database of a group that replicates by itself, in virtual time. */
+/** A target of a group that replicates without the proxies, in virtual time. */
 import {
   EMPTY_LOG_END,
   type LogPosition,
@@ -13,7 +13,7 @@
   localAnswer,
 } from '@kelpstep/statements';
 
-import {createCommitWaits} from './commit_waits';
+import {createPendingCommits} from './pending_commits';
 import type {LogRecord} from './run_record';
 import type {
   StandInTarget,
@@ -22,14 +22,14 @@
 import {createTargetLog} from './target_log';
 import {
   type TargetSession,
-  changeSession,
-  clearSession,
+  applySessionStatement,
+  resetSession,
   createTargetSession,
-  stateOf,
+  transactionStateOf,
 } from './target_session';
 import {createTargetSlots} from './target_slots';
 
-/** Creates a target that follows term 1 with an empty log. */
+/** Creates a replica in term 1 with an empty log. */
 export function createStandInTarget(
   options: StandInTargetOptions,
 ): StandInTarget {
@@ -40,50 +40,54 @@
   let term = 1;
   let termHeld = 0;
   let isPaused = false;
-  let isDeaf = false;
+  let isReplicationBlocked = false;
   let running = true;
   let nextNumber = 1;
   const slots = createTargetSlots(timer, options.slots, options.workTime);
-  const waitingCommits = createCommitWaits();
+  const pendingCommits = createPendingCommits();
 
   function receive(
     senderTerm: number,
     previous: LogPosition,
     records: readonly LogRecord[],
   ): boolean {
-    const mayReceive = running && !isPaused && !isDeaf && senderTerm === term;
+    const mayReceive =
+      running && !isPaused && !isReplicationBlocked && senderTerm === term;
     return mayReceive && log.receive(previous, records);
   }
 
   function append(writes: readonly string[], done: () => void): void {
     const previous = log.received();
     const position = {term, position: previous.position + 1};
-    const record = {position, writes: [...writes]};
-    log.append(record);
-    waitingCommits.add(position, done);
-    options.onAppended(previous, record);
+    const newRecord = {position, writes: [...writes]};
+    log.append(newRecord);
+    pendingCommits.add(position, done);
+    options.onAppended(previous, newRecord);
   }
 
-  function finish(
+  function answerSuccess(
     session: TargetSession,
     answer: (answer: StatementAnswer) => void,
     receipt: string,
     rows: readonly string[] = [],
   ): void {
-    const state = stateOf(session);
+    const state = transactionStateOf(session);
     answer({...localAnswer(state), rows, receipt, position: log.applied()});
   }
 
-  function fail(
+  function answerFailure(
     session: TargetSession,
     answer: (answer: StatementAnswer) => void,
     name: StatementErrorName,
   ): void {
     session.hasFailed = session.transaction !== undefined && name !== 'busy';
-    answer({...errorAnswer(name, stateOf(session)), position: log.applied()});
+    answer({
+      ...errorAnswer(name, transactionStateOf(session)),
+      position: log.applied(),
+    });
   }
 
-  function record(
+  function recordRun(
     kind: 'read' | 'write' | 'commit',
     session: TargetSession,
     id: string,
@@ -104,7 +108,7 @@
     });
   }
 
-  function hasLostLead({transaction}: TargetSession): boolean {
+  function hasLostPrimaryRole({transaction}: TargetSession): boolean {
     return (
       transaction !== undefined &&
       !transaction.isReadOnly &&
@@ -112,7 +116,7 @@
     );
   }
 
-  function lacks(after: LogPosition | undefined): boolean {
+  function isBehind(after: LogPosition | undefined): boolean {
     return after !== undefined && compareLogPositions(log.applied(), after) < 0;
   }
 
@@ -122,23 +126,23 @@
     shape: string | undefined,
     answer: (answer: StatementAnswer) => void,
   ): void {
-    if (hasLostLead(session)) {
-      fail(session, answer, 'readOnly');
+    if (hasLostPrimaryRole(session)) {
+      answerFailure(session, answer, 'readOnly');
       return;
     }
-    if (lacks(after)) {
-      fail(session, answer, 'lagging');
+    if (isBehind(after)) {
+      answerFailure(session, answer, 'lagging');
       return;
     }
     slots.run(
       () => {
-        record('read', session, id, shape);
-        const state = stateOf(session);
+        recordRun('read', session, id, shape);
+        const state = transactionStateOf(session);
         const rows = [`row of ${id}`];
         const position = log.applied();
         answer({...localAnswer(state), rows, receipt: `r-${id}`, position});
       },
-      () => fail(session, answer, 'busy'),
+      () => answerFailure(session, answer, 'busy'),
     );
   }
 
@@ -148,26 +152,26 @@
     shape: string | undefined,
     answer: (answer: StatementAnswer) => void,
   ): void {
-    if (role !== 'primary' || hasLostLead(session)) {
-      fail(session, answer, 'readOnly');
+    if (role !== 'primary' || hasLostPrimaryRole(session)) {
+      answerFailure(session, answer, 'readOnly');
       return;
     }
     slots.run(
       () => {
-        if (role !== 'primary' || hasLostLead(session)) {
-          fail(session, answer, 'readOnly');
+        if (role !== 'primary' || hasLostPrimaryRole(session)) {
+          answerFailure(session, answer, 'readOnly');
           return;
         }
-        record('write', session, id, shape);
+        recordRun('write', session, id, shape);
         const {transaction} = session;
         if (transaction === undefined) {
-          append([id], () => finish(session, answer, `w-${id}`));
+          append([id], () => answerSuccess(session, answer, `w-${id}`));
         } else {
           transaction.writes.push(id);
-          finish(session, answer, `w-${id}`);
+          answerSuccess(session, answer, `w-${id}`);
         }
       },
-      () => fail(session, answer, 'busy'),
+      () => answerFailure(session, answer, 'busy'),
     );
   }
 
@@ -178,20 +182,20 @@
   ): void {
     const {transaction} = session;
     if (transaction === undefined || session.hasFailed) {
-      fail(session, answer, 'malformed');
+      answerFailure(session, answer, 'malformed');
       return;
     }
     const {writes} = transaction;
-    if (writes.length > 0 && hasLostLead(session)) {
-      fail(session, answer, 'readOnly');
+    if (writes.length > 0 && hasLostPrimaryRole(session)) {
+      answerFailure(session, answer, 'readOnly');
       return;
     }
-    record('commit', session, id, undefined);
+    recordRun('commit', session, id, undefined);
     session.transaction = undefined;
     if (writes.length === 0) {
-      finish(session, answer, `c-${id}`);
+      answerSuccess(session, answer, `c-${id}`);
     } else {
-      append(writes, () => finish(session, answer, `c-${id}`));
+      append(writes, () => answerSuccess(session, answer, `c-${id}`));
     }
   }
 
@@ -202,13 +206,13 @@
     answer: (answer: StatementAnswer) => void,
   ): void {
     if (!isReadOnly && role !== 'primary') {
-      fail(session, answer, 'readOnly');
-    } else if (lacks(after)) {
-      fail(session, answer, 'lagging');
+      answerFailure(session, answer, 'readOnly');
+    } else if (isBehind(after)) {
+      answerFailure(session, answer, 'lagging');
     } else {
       const number = nextNumber++;
       session.transaction = {number, isReadOnly, term, writes: []};
-      finish(session, answer, '');
+      answerSuccess(session, answer, '');
     }
   }
 
@@ -218,7 +222,7 @@
   ): void {
     const {term: receivedTerm, position} = log.received();
     const row = `${role} ${term} ${receivedTerm}.${position} ${termHeld} 0 ${slots.busy()} ${sessions.size}`;
-    finish(session, answer, '', [row]);
+    answerSuccess(session, answer, '', [row]);
   }
 
   function runStatement(
@@ -237,7 +241,7 @@
       case 'rollback':
         session.transaction = undefined;
         session.hasFailed = false;
-        finish(session, answer, '');
+        answerSuccess(session, answer, '');
         return;
       case 'read':
         runRead(session, request, undefined, answer);
@@ -248,13 +252,13 @@
       case 'set':
       case 'prepare':
       case 'deallocate':
-        changeSession(session, statement);
-        finish(session, answer, '');
+        applySessionStatement(session, statement);
+        answerSuccess(session, answer, '');
         return;
       case 'execute': {
         const shape = session.prepared.get(statement.name);
         if (shape === undefined) {
-          fail(session, answer, 'notPrepared');
+          answerFailure(session, answer, 'notPrepared');
         } else if (shape.startsWith('read')) {
           runRead(session, request, shape, answer);
         } else {
@@ -264,24 +268,25 @@
     }
   }
 
-  /** An order that comes late is carried out, and not answered. */
+  /** Handles a request; a delayed command is executed but not answered. */
   function handle(
     number: number,
     request: TargetRequest,
     answer: (answer: StatementAnswer) => void,
   ): void {
     const {kind} = request.body;
-    const isOrder = kind === 'pause' || kind === 'resume' || kind === 'demote';
-    const delay = isOrder ? options.orderDelay() : 0;
+    const isCommand =
+      kind === 'pause' || kind === 'resume' || kind === 'demote';
+    const delay = isCommand ? options.orderDelay() : 0;
     if (delay > 0) {
       const session = sessions.get(number);
-      timer.after(delay, () => carryOut(session, request, () => {}));
+      timer.after(delay, () => executeRequest(session, request, () => {}));
     } else {
-      carryOut(sessions.get(number), request, answer);
+      executeRequest(sessions.get(number), request, answer);
     }
   }
 
-  function carryOut(
+  function executeRequest(
     session: TargetSession | undefined,
     request: TargetRequest,
     answer: (answer: StatementAnswer) => void,
@@ -292,8 +297,8 @@
     }
     switch (body.kind) {
       case 'reset':
-        clearSession(session);
-        finish(session, answer, '');
+        resetSession(session);
+        answerSuccess(session, answer, '');
         return;
       case 'status':
         answerStatus(session, answer);
@@ -313,7 +318,7 @@
         if (body.term > term && role === 'primary') {
           role = 'replica';
           termHeld = Math.max(termHeld, body.term);
-          waitingCommits.clear();
+          pendingCommits.clear();
         }
         answerStatus(session, answer);
         return;
@@ -325,7 +330,7 @@
   function stop(): void {
     running = false;
     slots.clear();
-    waitingCommits.clear();
+    pendingCommits.clear();
     sessions.clear();
   }
 
@@ -343,23 +348,23 @@
       [running, isPaused, role] = [true, false, 'replica'];
       log.restart(wiped);
     },
-    setDeaf: deaf => void (isDeaf = deaf),
+    setDeaf: deaf => void (isReplicationBlocked = deaf),
     receive,
-    follow(nextTerm, leaderLog) {
+    follow(nextTerm, primaryLog) {
       role = 'replica';
       term = nextTerm;
       isPaused = false;
-      waitingCommits.clear();
-      log.rollBackTo(leaderLog);
-      receive(nextTerm, EMPTY_LOG_END, leaderLog);
+      pendingCommits.clear();
+      log.rollBackTo(primaryLog);
+      receive(nextTerm, EMPTY_LOG_END, primaryLog);
     },
-    lead(nextTerm) {
+    becomePrimary(nextTerm) {
       role = 'primary';
       term = nextTerm;
       isPaused = false;
       log.applyAll();
     },
-    acknowledge: waitingCommits.acknowledge,
+    acknowledge: pendingCommits.acknowledge,
     open(user, done) {
       function add(): void {
         const number = nextNumber++;
--- a/packages/stand-ins/src/statement_group/stand_in_target_types.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target_types.ts
@@ -1,29 +1,32 @@
-/** What a stand-in target is made of, and what a test may do to it. */
+/** Options and interface of a stand-in target. */
 import type {LogPosition} from '@kelpstep/protocol';
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 import type {StatementAnswer, TargetRequest} from '@kelpstep/statements';
 
 import type {LogRecord, RunRecorder} from './run_record';
 
-/** How a target behaves. */
+/** Options of `createStandInTarget`. */
 export interface StandInTargetOptions {
   readonly timer: TimerService;
   readonly target: string;
   readonly group: string;
   readonly slots: number;
   readonly workTime: Milliseconds;
-  /** Time of a slot that a new connection takes. */
+  /** Time for which a new connection occupies a slot. */
   readonly openingTime: Milliseconds;
   readonly recorder: RunRecorder;
-  /** Time between a record's arrival and its application. */
+  /** Delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
-  /** How late an order is carried out, without an answer; 0: at once. */
+  /**
+   * Delay of the next pause, resume or demote command. A delayed command is not
+   * answered; 0 executes and answers it immediately.
+   */
   orderDelay(): Milliseconds;
-  /** A primary's record is on its way to the replicas. */
+  /** Called when a primary has appended a record, to replicate it. */
   onAppended(previous: LogPosition, record: LogRecord): void;
 }
 
-/** A target with what a test may do to it. */
+/** A target and its test controls. */
 export interface StandInTarget {
   readonly target: string;
   role(): 'primary' | 'replica';
@@ -32,28 +35,32 @@
   received(): LogPosition;
   applied(): LogPosition;
   isRunning(): boolean;
-  /** True if it was told to receive nothing. */
+  /** True if replication is paused by a command. */
   isPaused(): boolean;
-  /** Loses its connections; a wiped one starts empty. */
+  /** Stops the process and ends its sessions. */
   stop(): void;
+  /** Starts the process as a replica, with an empty log if it is wiped. */
   start(wiped: boolean): void;
-  /** Receives nothing while it is deaf. */
+  /** Blocks or unblocks the receipt of records. */
   setDeaf(deaf: boolean): void;
-  /** Takes records that follow a position; false if it lacks that one. */
+  /** Appends records that follow a position; false if it can't take them. */
   receive(
     term: number,
     previous: LogPosition,
     records: readonly LogRecord[],
   ): boolean;
+  /** Makes it a replica in a term, with the log of that term's primary. */
   follow(term: number, log: readonly LogRecord[]): void;
-  lead(term: number): void;
-  /** A replica has received up to here. */
+  /** Makes it the primary of a term. */
+  becomePrimary(term: number): void;
+  /** Reports that a replica has received the log up to a position. */
   acknowledge(position: LogPosition): void;
-  /** Takes a new connection once a slot had the time for it. */
+  /** Opens a session, in a slot if opening takes time. */
   open(user: string | undefined, done: (session: number) => void): void;
-  /** Connections that are open. */
+  /** Number of open sessions. */
   connections(): number;
   endSession(session: number): void;
+  /** Handles a request of a session; `answer` may never be called. */
   handle(
     session: number,
     request: TargetRequest,
--- a/packages/stand-ins/src/statement_group/target_log.ts
+++ b/packages/stand-ins/src/statement_group/target_log.ts
@@ -1,4 +1,4 @@
-/** The log of a stand-in target: what it received and what it applied. */
+/** The log of a stand-in target, with its received and applied ends. */
 import {
   EMPTY_LOG_END,
   type LogPosition,
@@ -8,19 +8,27 @@
 
 import type {LogRecord} from './run_record';
 
-/** A log whose records are applied some time after they came. */
+/** A log that applies received records after a delay. */
 export interface TargetLog {
   records(): readonly LogRecord[];
+  /** End of the received records. */
   received(): LogPosition;
+  /** End of the applied records. */
   applied(): LogPosition;
-  /** Takes records that follow a position; false if it lacks that one. */
+  /**
+   * Appends new records that follow a position and applies them after the
+   * delay. Returns false if the log ends before that position.
+   */
   receive(previous: LogPosition, records: readonly LogRecord[]): boolean;
-  /** Adds a record and applies it at once. */
+  /** Appends a record and applies it immediately. */
   append(record: LogRecord): void;
-  /** Drops what the leader's log doesn't hold. */
-  rollBackTo(leaderLog: readonly LogRecord[]): void;
+  /** Removes the records that the primary's log doesn't hold. */
+  rollBackTo(primaryLog: readonly LogRecord[]): void;
   applyAll(): void;
-  /** What was on its way to be applied is not, until it is received again. */
+  /**
+   * Restarts the process, with an empty log if it is wiped. Records that were
+   * waiting to be applied wait until more records are received.
+   */
   restart(wiped: boolean): void;
 }
 
@@ -31,17 +39,17 @@
 ): TargetLog {
   let log: LogRecord[] = [];
   let appliedCount = 0;
-  let life = 0;
+  let incarnationNumber = 0;
 
   function received(): LogPosition {
     return log[log.length - 1]?.position ?? EMPTY_LOG_END;
   }
 
   function applyLater(): void {
-    const startedIn = life;
+    const startIncarnation = incarnationNumber;
     const count = log.length;
     timer.after(applyDelay(), () => {
-      if (life === startedIn) {
+      if (incarnationNumber === startIncarnation) {
         appliedCount = Math.max(appliedCount, Math.min(count, log.length));
       }
     });
@@ -55,10 +63,10 @@
       if (compareLogPositions(previous, received()) > 0) {
         return false;
       }
-      const fresh = records.filter(
+      const newRecords = records.filter(
         ({position}) => compareLogPositions(position, received()) > 0,
       );
-      log.push(...fresh);
+      log.push(...newRecords);
       applyLater();
       return true;
     },
@@ -66,9 +74,9 @@
       log.push(record);
       appliedCount = log.length;
     },
-    rollBackTo(leaderLog) {
+    rollBackTo(primaryLog) {
       const ends = new Set(
-        leaderLog.map(({position}) => `${position.term}.${position.position}`),
+        primaryLog.map(({position}) => `${position.term}.${position.position}`),
       );
       log = log.filter(({position}) =>
         ends.has(`${position.term}.${position.position}`),
@@ -79,7 +87,7 @@
       appliedCount = log.length;
     },
     restart(wiped) {
-      life += 1;
+      incarnationNumber += 1;
       log = wiped ? [] : log;
       appliedCount = Math.min(appliedCount, log.length);
     },
--- a/packages/stand-ins/src/statement_group/target_session.ts
+++ b/packages/stand-ins/src/statement_group/target_session.ts
@@ -1,4 +1,4 @@
-/** Sessions as a stand-in target keeps them. */
+/** Session state of a stand-in target. */
 import type {
   DeallocateStatement,
   PrepareStatement,
@@ -6,18 +6,20 @@
   TransactionState,
 } from '@kelpstep/statements';
 
-/** A caller's connection as the target keeps it. */
+/** State of one connection at the target. */
 export interface TargetSession {
   readonly number: number;
-  /** Who it was opened for; undefined: a proxy itself. */
+  /** User of the connection; undefined if the proxy opened it for itself. */
   readonly user: string | undefined;
   readonly values: Map<string, string>;
+  /** Access and shape of prepared statements, by name. */
   readonly prepared: Map<string, string>;
   transaction: OpenTransaction | undefined;
+  /** True if a statement of the open transaction has failed. */
   hasFailed: boolean;
 }
 
-/** A transaction that a target has begun. */
+/** An open transaction. */
 export interface OpenTransaction {
   readonly number: number;
   readonly isReadOnly: boolean;
@@ -25,7 +27,7 @@
   readonly writes: string[];
 }
 
-/** Creates a session with nothing set. */
+/** Creates a session without values, prepared statements or transaction. */
 export function createTargetSession(
   number: number,
   user: string | undefined,
@@ -40,16 +42,16 @@
   };
 }
 
-/** Where a session stands. */
-export function stateOf(session: TargetSession): TransactionState {
+/** Returns the transaction state of a session. */
+export function transactionStateOf(session: TargetSession): TransactionState {
   if (session.hasFailed) {
     return 'failed';
   }
   return session.transaction === undefined ? 'idle' : 'open';
 }
 
-/** Carries out a statement that changes the session alone. */
-export function changeSession(
+/** Executes a statement that changes only session state. */
+export function applySessionStatement(
   {values, prepared}: TargetSession,
   statement: SetStatement | PrepareStatement | DeallocateStatement,
 ): void {
@@ -65,8 +67,8 @@
   }
 }
 
-/** Clears all that was set and prepared. */
-export function clearSession({values, prepared}: TargetSession): void {
+/** Clears the values and the prepared statements. */
+export function resetSession({values, prepared}: TargetSession): void {
   values.clear();
   prepared.clear();
 }
--- a/packages/stand-ins/src/statement_group/target_slots.ts
+++ b/packages/stand-ins/src/statement_group/target_slots.ts
@@ -1,53 +1,56 @@
-/** The slots of a stand-in target. */
+/** Execution slots of a stand-in target. */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** Runs work in slots; what finds none waits in order. */
+/** Runs tasks in slots; tasks without a free slot wait in FIFO order. */
 export interface TargetSlots {
-  /** Runs work that takes as long as statements do, or another time. */
-  run(work: () => void, refuse: () => void, time?: Milliseconds): void;
+  /**
+   * Occupies a slot for a time, the duration of a statement by default, then
+   * runs the task. Calls `refuse` instead if the queue is full.
+   */
+  run(task: () => void, refuse: () => void, time?: Milliseconds): void;
   busy(): number;
-  /** Forgets all work, as when the process ends. */
+  /** Discards running and waiting tasks, as when the process ends. */
   clear(): void;
 }
 
-/** Statements that wait for a slot before the target refuses more. */
+/** Maximum number of tasks that wait for a slot. */
 const QUEUE_CAPACITY = 24;
 
-/** Creates free slots. */
+/** Creates slots that are all free. */
 export function createTargetSlots(
   timer: TimerService,
   slots: number,
-  workTime: Milliseconds,
+  statementDuration: Milliseconds,
 ): TargetSlots {
   let busy = 0;
-  let life = 0;
+  let incarnationNumber = 0;
   let waiting: Array<() => void> = [];
 
-  function start(work: () => void, time: Milliseconds): void {
-    const startedIn = life;
+  function start(task: () => void, time: Milliseconds): void {
+    const startIncarnation = incarnationNumber;
     busy += 1;
     timer.after(time, () => {
-      if (life === startedIn) {
+      if (incarnationNumber === startIncarnation) {
         busy -= 1;
-        work();
+        task();
         waiting.shift()?.();
       }
     });
   }
 
   return {
-    run(work, refuse, time = workTime) {
+    run(task, refuse, time = statementDuration) {
       if (busy < slots) {
-        start(work, time);
+        start(task, time);
       } else if (waiting.length < QUEUE_CAPACITY) {
-        waiting.push(() => start(work, time));
+        waiting.push(() => start(task, time));
       } else {
         refuse();
       }
     },
     busy: () => busy,
     clear() {
-      life += 1;
+      incarnationNumber += 1;
       busy = 0;
       waiting = [];
     },
