--- a/packages/stand-ins/src/network/connection_registry.ts
+++ b/packages/stand-ins/src/network/connection_registry.ts
@@ -1,13 +1,13 @@
-/** The connections of the fake network, each with both its ends. */
+/** Registry of the connections of the fake network. */
 import type {Address} from '@kelpstep/rpc';
 
 import {Endpoint, Frame, createEndpoint} from './endpoint';
 import type {HostProcess} from './host_process';
 
-/** Both ends of a connection, the client's first. */
+/** Both ends of a connection; the client's end comes first. */
 export type ConnectionEnds = readonly [Endpoint, Endpoint];
 
-/** The connections of a network. */
+/** The connections of one network. */
 export interface ConnectionRegistry {
   /** Creates an open connection. */
   connect(
@@ -16,25 +16,25 @@
     clientAddress: Address,
     serverAddress: Address,
   ): ConnectionEnds;
-  /** Connections between two hosts that at least one end holds open. */
+  /** Connections between two hosts with at least one open end. */
   between(left: string, right: string): ConnectionEnds[];
-  /** Ends of a host that are open, each with the other end. */
+  /** Open ends on a host, each paired with its remote end. */
   endsOf(host: string): ConnectionEnds[];
 }
 
-/** Fewest connections at which ended ones are looked for. */
-const MINIMUM_SWEEP = 64;
+/** Minimum number of connections before closed ones are removed. */
+const MINIMUM_SWEEP_COUNT = 64;
 
-/** Creates an empty registry; `transmit` carries a frame between two ends. */
+/** Creates an empty registry; `transmit` sends a frame between two ends. */
 export function createConnectionRegistry(
   transmit: (sender: Endpoint, receiver: Endpoint, frame: Frame) => void,
 ): ConnectionRegistry {
   let connections: ConnectionEnds[] = [];
-  let nextSweep = MINIMUM_SWEEP;
+  let sweepThreshold = MINIMUM_SWEEP_COUNT;
 
-  function sweep(): void {
+  function removeClosedConnections(): void {
     connections = connections.filter(ends => ends.some(end => end.isOpen()));
-    nextSweep = Math.max(MINIMUM_SWEEP, 2 * connections.length);
+    sweepThreshold = Math.max(MINIMUM_SWEEP_COUNT, 2 * connections.length);
   }
 
   function connect(
@@ -57,14 +57,14 @@
     });
     const ends: ConnectionEnds = [clientEnd, serverEnd];
     connections.push(ends);
-    if (connections.length >= nextSweep) {
-      sweep();
+    if (connections.length >= sweepThreshold) {
+      removeClosedConnections();
     }
     return ends;
   }
 
   function between(left: string, right: string): ConnectionEnds[] {
-    sweep();
+    removeClosedConnections();
     return connections.filter(
       ([client, server]) =>
         (client.host === left && server.host === right) ||
--- a/packages/stand-ins/src/network/endpoint.ts
+++ b/packages/stand-ins/src/network/endpoint.ts
@@ -5,8 +5,8 @@
 import type {HostTimer} from './host_timer';
 
 /**
- * What travels on a connection. Messages arrive as a copy made from their
- * text: nothing is shared. Predicates look at the original.
+ * Unit of transmission on a connection. The receiver gets a copy parsed from
+ * `text`, so no objects are shared; message predicates get the original.
  */
 export type Frame =
   | {
@@ -14,54 +14,54 @@
       readonly text: string;
       readonly original: object;
     }
-  /** The orderly end of the stream. */
+  /** Orderly end of the stream. */
   | {readonly kind: 'close'}
-  /** The other kernel does not know the connection; lost if it is cut. */
+  /** The remote host doesn't know the connection; not retransmitted. */
   | {readonly kind: 'reset'};
 
-/** The request methods that an end has sent, by JSON-RPC id. */
+/** Methods of the requests that an end has sent, by JSON-RPC id. */
 export type RequestMethods = Map<unknown, string>;
 
 /** One end of a connection. */
 export interface Endpoint {
-  /** IP of its host. */
+  /** IP address of its host. */
   readonly host: string;
   readonly process: HostTimer;
   readonly connection: Connection;
-  /** Frames on their way here, the oldest first. */
+  /** Frames in transit to this end, oldest first. */
   readonly inFlight: Fifo<Frame>;
-  /** Frames that met a cut; sent again once it is healed. */
+  /** Frames stopped by a partition; retransmitted when it heals. */
   readonly stalled: Fifo<Frame>;
   readonly requestMethods: RequestMethods;
-  /** Latest time of arrival of the frames in flight. */
+  /** Latest arrival time of the frames in flight. */
   lastArrival: number;
-  /** True once the network has lost track of the connection. */
+  /** True if the network drops all frames of the connection. */
   silent: boolean;
   isOpen(): boolean;
-  /** Gives a frame to the process. */
+  /** Delivers a frame to the process. */
   accept(frame: Frame): void;
-  /** Ends this side without a word to anyone. */
+  /** Closes this end without notifying the process or the remote end. */
   abandon(): void;
 }
 
-/** What an endpoint is made of. */
+/** Options of `createEndpoint`. */
 export interface EndpointOptions {
   readonly host: string;
   readonly process: HostTimer;
   readonly remoteAddress: string;
-  /** Sends a frame to the other end. */
+  /** Sends a frame to the remote end. */
   readonly transmit: (frame: Frame) => void;
 }
 
 /** Creates an open endpoint. */
 export function createEndpoint(options: EndpointOptions): Endpoint {
   const {host, process, remoteAddress, transmit} = options;
-  const early: unknown[] = [];
+  const earlyMessages: unknown[] = [];
   let listener: ConnectionListener | undefined;
   let open = true;
   let closeReason: string | undefined;
 
-  function end(reason: string): void {
+  function closeLocally(reason: string): void {
     if (!open) {
       return;
     }
@@ -80,13 +80,13 @@
   function close(reason: string): void {
     if (open && !process.isStopped()) {
       transmit({kind: 'close'});
-      end(reason);
+      closeLocally(reason);
     }
   }
 
   function listen(newListener: ConnectionListener): void {
     listener = newListener;
-    for (const message of early.splice(0)) {
+    for (const message of earlyMessages.splice(0)) {
       listener.onMessage(message);
     }
     if (closeReason !== undefined) {
@@ -99,9 +99,11 @@
       return;
     }
     if (frame.kind !== 'message') {
-      end(frame.kind === 'close' ? 'closed by the other end' : 'reset');
+      closeLocally(
+        frame.kind === 'close' ? 'closed by the other end' : 'reset',
+      );
     } else if (listener === undefined) {
-      early.push(JSON.parse(frame.text));
+      earlyMessages.push(JSON.parse(frame.text));
     } else {
       listener.onMessage(JSON.parse(frame.text));
     }
--- a/packages/stand-ins/src/network/fake_network.ts
+++ b/packages/stand-ins/src/network/fake_network.ts
@@ -1,7 +1,7 @@
 /**
- * A network in memory and virtual time. Connections behave as TCP does: frames
- * stay in order, what meets a cut is sent again once it is healed, and a host
- * that does not know a connection resets it.
+ * An in-memory network in virtual time. Connections behave like TCP: frames
+ * stay in order, frames stopped by a partition are retransmitted when it heals,
+ * and a host resets connections that it doesn't know.
  */
 import type {Milliseconds, Random, TimerService} from '@kelpstep/runtime';
 import type {Transport} from '@kelpstep/rpc';
@@ -14,55 +14,58 @@
 import {HostTimer, createHostTimer} from './host_timer';
 import {MessagePredicate, createMessageRules} from './message_rules';
 
-/** What a network is made of. */
+/** Options of `createFakeNetwork`. */
 export interface FakeNetworkOptions {
   readonly timer: TimerService;
   readonly random: Random;
-  /** One-way latency between two hosts, milliseconds; 0.5 by default. */
+  /** One-way latency between two hosts in milliseconds; 0.5 by default. */
   readonly latency?: (from: string, to: string) => Milliseconds;
-  /** Up to this many milliseconds are added to each latency; 0 by default. */
+  /** Maximum random addition to each latency in milliseconds; 0 by default. */
   readonly jitter?: Milliseconds;
-  /** Gets a line for each frame that arrives. */
+  /** Called with a line of text for each frame that arrives. */
   readonly trace?: (line: string) => void;
 }
 
-/** A network between hosts, which are named by their IP. */
+/** A network of hosts, which are identified by IP address. */
 export interface FakeNetwork {
   /**
-   * The transport of the process on a host. After `killHost` or `removeHost`
-   * the next call starts a new process on it.
+   * Returns the transport of the process on a host. The first call, and the
+   * first after `killHost` or `removeHost`, starts a new process.
    */
   transportFor(host: string): Transport;
-  /** The timer service of the same process. */
+  /** Returns the timer service of the process on a host. */
   timerFor(host: string): HostTimer;
-  /** Cuts two hosts off from each other, or `from` to `to` only. */
+  /** Partitions two hosts, or blocks only the direction `from` to `to`. */
   cut(from: string, to: string, direction?: CutDirection): void;
-  /** Cuts every host of one list off from every host of the other. */
+  /** Partitions every host of one list from every host of the other. */
   cutGroups(
     from: readonly string[],
     to: readonly string[],
     direction?: CutDirection,
   ): void;
-  /** Ends the cut between two hosts, in both directions. */
+  /** Ends the partition between two hosts in both directions. */
   heal(left: string, right: string): void;
-  /** Ends all cuts. */
+  /** Ends all partitions. */
   healAll(): void;
-  /** True if packets from one host don't reach the other. */
+  /** True if packets from one host can't reach the other. */
   isCut(from: string, to: string): boolean;
-  /** The open connections between two hosts carry nothing any more. */
+  /** Drops all further frames on the open connections between two hosts. */
   silence(left: string, right: string): void;
-  /** Ends the process: connections are reset and dials refused. */
+  /** Kills the process: its connections are reset and dials are refused. */
   killHost(host: string): void;
-  /** Takes the host away: nothing answers, dials time out. */
+  /** Removes the host: its connections get no answer and dials time out. */
   removeHost(host: string): void;
-  /** Pauses the process; its kernel goes on accepting. */
+  /** Pauses the process; the host still accepts connections and frames. */
   freezeHost(host: string): void;
   thawHost(host: string): void;
-  /** Loses the next answers that match; their requests have arrived. */
+  /**
+   * Drops the next matching answers; their requests were delivered. Returns a
+   * function that removes the rule, as do the two methods below.
+   */
   loseAnswers(predicate: MessagePredicate, count?: number): () => void;
-  /** Loses the next messages of any kind that match. */
+  /** Drops the next matching messages of any kind. */
   loseMessages(predicate: MessagePredicate, count?: number): () => void;
-  /** Delays matching messages; those behind on the same connection wait. */
+  /** Delays matching messages and those queued behind them. */
   delayMessages(
     predicate: MessagePredicate,
     duration: Milliseconds,
@@ -70,15 +73,15 @@
   ): () => void;
 }
 
-/** Which way a cut holds. */
+/** Directions that a partition blocks. */
 export type CutDirection = 'both' | 'one-way';
 
-const DEFAULT_LATENCY: Milliseconds = 0.5;
+const DEFAULT_LATENCY_MS: Milliseconds = 0.5;
 
 /** Creates a network without hosts. */
 export function createFakeNetwork(options: FakeNetworkOptions): FakeNetwork {
   const {timer, random} = options;
-  const latency = options.latency ?? (() => DEFAULT_LATENCY);
+  const latency = options.latency ?? (() => DEFAULT_LATENCY_MS);
   const jitter = options.jitter ?? 0;
   const trace = options.trace;
   const processes = new Map<string, HostProcess>();
@@ -106,16 +109,19 @@
     return latency(from, to) + extra;
   }
 
-  /** Sends a frame; arrivals take frames in order, whatever their times. */
+  /**
+   * Schedules the arrival of a frame. Each arrival takes the oldest frame in
+   * flight, so frames stay in order.
+   */
   function transmit(sender: Endpoint, receiver: Endpoint, frame: Frame): void {
-    const fate =
+    const effect =
       frame.kind === 'message'
-        ? rules.judge(sender, receiver, frame.original)
+        ? rules.apply(sender, receiver, frame.original)
         : {lost: false, delay: 0};
-    if (fate.lost || sender.silent) {
+    if (effect.lost || sender.silent) {
       return;
     }
-    const duration = travelTime(sender.host, receiver.host) + fate.delay;
+    const duration = travelTime(sender.host, receiver.host) + effect.delay;
     const arrival = Math.max(receiver.lastArrival, timer.now() + duration);
     receiver.lastArrival = arrival;
     receiver.inFlight.push(frame);
@@ -127,7 +133,7 @@
     if (frame === undefined || receiver.silent) {
       return;
     }
-    if (!links.canPass(sender.host, receiver.host)) {
+    if (!links.canReach(sender.host, receiver.host)) {
       if (frame.kind !== 'reset') {
         receiver.stalled.push(frame);
       }
@@ -141,7 +147,7 @@
     }
   }
 
-  /** Sends again what met a cut, ahead of what was sent later. */
+  /** Retransmits stalled frames ahead of the frames in flight. */
   function retransmit(sender: Endpoint, receiver: Endpoint): void {
     const stalled = receiver.stalled.drain();
     const later = receiver.inFlight.drain();
@@ -204,7 +210,7 @@
   }
 
   function healAll(): void {
-    for (const [from, to] of links.cuts()) {
+    for (const [from, to] of links.partitions()) {
       heal(from, to);
     }
   }
@@ -215,7 +221,7 @@
         process: processOf(host),
         timer,
         travelTime,
-        canPass: links.canPass,
+        canReach: links.canReach,
         processAt: address => processes.get(hostOf(address)),
         connect: connections.connect,
       }),
@@ -224,7 +230,7 @@
     cutGroups,
     heal,
     healAll,
-    isCut: (from, to) => !links.canPass(from, to),
+    isCut: (from, to) => !links.canReach(from, to),
     silence,
     killHost,
     removeHost,
--- a/packages/stand-ins/src/network/fake_transport.ts
+++ b/packages/stand-ins/src/network/fake_transport.ts
@@ -1,4 +1,4 @@
-/** Dialling and listening on the fake network, for one process. */
+/** Transport of one process on the fake network. */
 import {
   Deferred,
   Milliseconds,
@@ -18,15 +18,15 @@
 import type {Endpoint} from './endpoint';
 import type {HostProcess} from './host_process';
 
-/** What a transport needs of its network. */
+/** Options of `createFakeTransport`. */
 export interface FakeTransportOptions {
   readonly process: HostProcess;
   readonly timer: TimerService;
   readonly travelTime: (from: string, to: string) => Milliseconds;
-  readonly canPass: (from: string, to: string) => boolean;
-  /** The process on the host of an address, dead or alive. */
+  readonly canReach: (from: string, to: string) => boolean;
+  /** The latest process on the host of an address, running or stopped. */
   readonly processAt: (address: Address) => HostProcess | undefined;
-  /** Creates both ends of a connection, the client's first. */
+  /** Creates a connection; returns its ends, the client's end first. */
   readonly connect: (
     client: HostProcess,
     server: HostProcess,
@@ -40,24 +40,28 @@
   return address.slice(0, address.lastIndexOf(':'));
 }
 
-const FIRST_FREE_PORT = 40_000;
+const FIRST_EPHEMERAL_PORT = 40_000;
 
 type DialResult = Result<Connection, TransportError>;
 
 /** Creates the transport of one process. */
 export function createFakeTransport(options: FakeTransportOptions): Transport {
-  const {process, timer, travelTime, canPass, processAt} = options;
+  const {process, timer, travelTime, canReach, processAt} = options;
   const {host} = process;
-  let nextFreePort = FIRST_FREE_PORT;
+  let nextEphemeralPort = FIRST_EPHEMERAL_PORT;
 
-  function freeAddress(): Address {
-    return `${host}:${nextFreePort++}`;
+  function allocateAddress(): Address {
+    return `${host}:${nextEphemeralPort++}`;
   }
 
-  /** Runs an action on this process when a packet from `from` arrives. */
-  function onReturn(from: string, duration: number, action: () => void): void {
+  /** Runs an action in this process when a packet from a host arrives. */
+  function runOnArrival(
+    from: string,
+    duration: number,
+    action: () => void,
+  ): void {
     timer.after(duration, () => {
-      if (canPass(from, host)) {
+      if (canReach(from, host)) {
         process.timer.run(action);
       }
     });
@@ -77,25 +81,25 @@
     });
     dialled.future.onSettled(cancelTimeout);
     timer.after(travelTime(host, hostOf(address)), () => {
-      clientEnd = answerDial(address, dialled);
+      clientEnd = handleDial(address, dialled);
     });
     return dialled.future;
   }
 
-  /** The first packet of a dial has reached the host of the address. */
-  function answerDial(
+  /** Handles a dial when its first packet arrives at the remote host. */
+  function handleDial(
     address: Address,
     dialled: Deferred<DialResult>,
   ): Endpoint | undefined {
     const server = processAt(address);
-    if (server === undefined || !canPass(host, server.host)) {
+    if (server === undefined || !canReach(host, server.host)) {
       return undefined;
     }
     const duration = travelTime(server.host, host);
     const accept = server.listeners.get(address);
     if (accept === undefined) {
-      const message = `Nobody listens on ${address}.`;
-      onReturn(server.host, duration, () =>
+      const message = `No process listens on ${address}.`;
+      runOnArrival(server.host, duration, () =>
         dialled.settle(Err({kind: 'refused', message})),
       );
       return undefined;
@@ -103,12 +107,12 @@
     const [clientEnd, serverEnd] = options.connect(
       process,
       server,
-      freeAddress(),
+      allocateAddress(),
       address,
     );
-    // What the server sends first comes behind the answer to the dial.
+    // The server's first frame must not arrive before the answer to the dial.
     clientEnd.lastArrival = timer.now() + duration;
-    onReturn(server.host, duration, () =>
+    runOnArrival(server.host, duration, () =>
       dialled.settle(Ok(clientEnd.connection)),
     );
     server.timer.run(() => accept(serverEnd.connection));
@@ -119,9 +123,9 @@
     if (process.timer.isStopped()) {
       return createDeferred<Result<Listener, TransportError>>().future;
     }
-    const bound = address.endsWith(':0') ? freeAddress() : address;
+    const bound = address.endsWith(':0') ? allocateAddress() : address;
     if (process.listeners.has(bound)) {
-      const message = `${bound} is in use.`;
+      const message = `${bound} is already in use.`;
       return settledFuture<Result<Listener, TransportError>>(
         Err({kind: 'address-in-use', message}),
       );
--- a/packages/stand-ins/src/network/host_links.ts
+++ b/packages/stand-ins/src/network/host_links.ts
@@ -1,45 +1,45 @@
-/** Which hosts exist and which of them can reach which. */
+/** Reachability between the hosts of the fake network. */
 
-/** The links between hosts. */
+/** Existing hosts and the partitions between them. */
 export interface HostLinks {
   add(host: string): void;
   remove(host: string): void;
-  /** Cuts one direction, or both. */
+  /** Blocks the direction `from` to `to`, or both directions. */
   cut(from: string, to: string, both: boolean): void;
-  /** Ends the cut in both directions. */
+  /** Unblocks both directions. */
   heal(left: string, right: string): void;
-  /** Directions that are cut. */
-  cuts(): ReadonlyArray<readonly [string, string]>;
-  /** True if both hosts exist and the direction is not cut. */
-  canPass(from: string, to: string): boolean;
+  /** Blocked directions. */
+  partitions(): ReadonlyArray<readonly [string, string]>;
+  /** True if both hosts exist and the direction is not blocked. */
+  canReach(from: string, to: string): boolean;
 }
 
-/** Creates links without hosts. */
+/** Creates the state of a network without hosts. */
 export function createHostLinks(): HostLinks {
-  const present = new Set<string>();
-  const cutDirections = new Map<string, readonly [string, string]>();
+  const hosts = new Set<string>();
+  const blockedDirections = new Map<string, readonly [string, string]>();
 
-  function cutOneWay(from: string, to: string): void {
-    cutDirections.set(`${from} ${to}`, [from, to]);
+  function block(from: string, to: string): void {
+    blockedDirections.set(`${from} ${to}`, [from, to]);
   }
 
   return {
-    add: host => present.add(host),
-    remove: host => present.delete(host),
+    add: host => hosts.add(host),
+    remove: host => hosts.delete(host),
     cut(from, to, both) {
-      cutOneWay(from, to);
+      block(from, to);
       if (both) {
-        cutOneWay(to, from);
+        block(to, from);
       }
     },
     heal(left, right) {
-      cutDirections.delete(`${left} ${right}`);
-      cutDirections.delete(`${right} ${left}`);
+      blockedDirections.delete(`${left} ${right}`);
+      blockedDirections.delete(`${right} ${left}`);
     },
-    cuts: () => [...cutDirections.values()],
-    canPass: (from, to) =>
-      present.has(from) &&
-      present.has(to) &&
-      !cutDirections.has(`${from} ${to}`),
+    partitions: () => [...blockedDirections.values()],
+    canReach: (from, to) =>
+      hosts.has(from) &&
+      hosts.has(to) &&
+      !blockedDirections.has(`${from} ${to}`),
   };
 }
--- a/packages/stand-ins/src/network/host_process.ts
+++ b/packages/stand-ins/src/network/host_process.ts
@@ -3,10 +3,11 @@
 
 import type {HostTimer} from './host_timer';
 
-/** A process and the ports it listens on. */
+/** A process and its listeners. */
 export interface HostProcess {
-  /** IP of the host. */
+  /** IP address of the host. */
   readonly host: string;
   readonly timer: HostTimer;
+  /** Accept callbacks by listen address. */
   readonly listeners: Map<Address, (connection: Connection) => void>;
 }
--- a/packages/stand-ins/src/network/host_timer.ts
+++ b/packages/stand-ins/src/network/host_timer.ts
@@ -1,42 +1,42 @@
 /**
- * The timer service of one process that can be paused, killed, or given a
- * wall clock of its own. Whatever else reaches the process, such as messages,
- * passes through `run`, so that a pause holds all of it back.
+ * Timer service of one process, which can be paused, stopped and given a wall
+ * clock offset. Other events of the process, such as messages, go through
+ * `run`, so that a pause delays all of them.
  */
 import {Milliseconds, TimerService} from '@kelpstep/runtime';
 
 import {createFifo} from '../fifo';
 
-/** A timer service with the faults of its host. */
+/** A timer service with fault injection. */
 export interface HostTimer extends TimerService {
   /**
-   * Runs an action: at once, on thaw while the host is frozen, never after
-   * `stop`. Actions that waited run in the order in which they came.
+   * Runs an action immediately, or on thaw if the process is frozen; never
+   * after `stop`. Delayed actions run in the order of the calls.
    */
   run(action: () => void): void;
-  /** Pauses the process: clocks go on, nothing runs. */
+  /** Pauses the process: its clocks advance but no action runs. */
   freeze(): void;
-  /** Ends the pause; all that fell due meanwhile happens now. */
+  /** Ends the pause and runs all delayed actions. */
   thaw(): void;
   isFrozen(): boolean;
-  /** Ends the process: nothing of it runs any more. */
+  /** Stops the process: no action runs any more. */
   stop(): void;
   isStopped(): boolean;
-  /** Shifts the wall clock against the timer underneath. */
+  /** Sets the offset of the wall clock from that of the underlying timer. */
   setWallClockOffset(offset: Milliseconds): void;
 }
 
-/** What a host timer is made of. */
+/** Options of `createHostTimer`. */
 export interface HostTimerOptions {
   readonly timer: TimerService;
-  /** Milliseconds that the wall clock is ahead; 0 by default. */
+  /** Initial offset of the wall clock, positive if ahead; 0 by default. */
   readonly wallClockOffset?: Milliseconds;
 }
 
 /** Creates the timer service of one process. */
 export function createHostTimer(options: HostTimerOptions): HostTimer {
   const {timer} = options;
-  const waiting = createFifo<() => void>();
+  const pendingActions = createFifo<() => void>();
   let wallClockOffset = options.wallClockOffset ?? 0;
   let frozen = false;
   let stopped = false;
@@ -45,8 +45,8 @@
     if (stopped) {
       return;
     }
-    if (frozen || waiting.size() > 0) {
-      waiting.push(action);
+    if (frozen || pendingActions.size() > 0) {
+      pendingActions.push(action);
     } else {
       action();
     }
@@ -55,7 +55,7 @@
   function thaw(): void {
     frozen = false;
     while (!frozen && !stopped) {
-      const action = waiting.shift();
+      const action = pendingActions.shift();
       if (action === undefined) {
         return;
       }
@@ -65,7 +65,7 @@
 
   function stop(): void {
     stopped = true;
-    waiting.drain();
+    pendingActions.drain();
   }
 
   function after(delay: Milliseconds, listener: () => void) {
--- a/packages/stand-ins/src/network/message_rules.ts
+++ b/packages/stand-ins/src/network/message_rules.ts
@@ -1,52 +1,52 @@
-/** Faults that pick single messages: loss and delay by predicate. */
+/** Injects loss and delay of single messages, selected by predicates. */
 import type {Milliseconds, Unsubscribe} from '@kelpstep/runtime';
 
 import type {Endpoint} from './endpoint';
 
-/** A message as predicates see it. */
+/** A message as passed to predicates. */
 export interface MessageInTransit {
-  /** IP of the sending host. */
+  /** IP address of the sending host. */
   readonly from: string;
-  /** IP of the receiving host. */
+  /** IP address of the receiving host. */
   readonly to: string;
-  /** Method of the request, or of the request that this answers. */
+  /** Method of the message; of the original request if it is an answer. */
   readonly method: string | undefined;
   readonly isAnswer: boolean;
   readonly message: unknown;
 }
 
-/** Picks messages. */
+/** Selects messages. */
 export type MessagePredicate = (message: MessageInTransit) => boolean;
 
-/** What the rules say of a message. */
-export interface MessageFate {
+/** Combined effect of the rules on a message. */
+export interface MessageEffect {
   readonly lost: boolean;
-  /** Milliseconds on top of the latency. */
+  /** Delay added to the latency. */
   readonly delay: Milliseconds;
 }
 
-/** Rules for messages. */
+/** Loss and delay rules of one network. */
 export interface MessageRules {
-  /** Loses the next `count` messages that match. */
+  /** Drops the next `count` matching messages. */
   lose(predicate: MessagePredicate, count: number): Unsubscribe;
-  /** Delays the next `count` messages that match. */
+  /** Delays the next `count` matching messages. */
   delay(
     predicate: MessagePredicate,
     duration: Milliseconds,
     count: number,
   ): Unsubscribe;
-  /** Judges a message that leaves `sender` for `receiver`. */
-  judge(sender: Endpoint, receiver: Endpoint, message: object): MessageFate;
+  /** Applies the rules to a message sent from `sender` to `receiver`. */
+  apply(sender: Endpoint, receiver: Endpoint, message: object): MessageEffect;
 }
 
 interface Rule {
   readonly predicate: MessagePredicate;
-  /** `undefined`: the message is lost. */
+  /** Delay to add; `undefined` drops the message. */
   readonly delay: Milliseconds | undefined;
   remaining: number;
 }
 
-const UNHARMED: MessageFate = {lost: false, delay: 0};
+const NO_EFFECT: MessageEffect = {lost: false, delay: 0};
 
 interface MessageEnvelope {
   readonly id?: unknown;
@@ -62,30 +62,30 @@
     return () => rules.delete(rule);
   }
 
-  /** Notes requests, so that an answer's method can be told by its id. */
-  function inspect(
+  /** Records requests by id, to find the method that an answer belongs to. */
+  function describeMessage(
     sender: Endpoint,
     receiver: Endpoint,
     message: MessageEnvelope,
   ): MessageInTransit {
     const isAnswer = message.method === undefined;
-    const asked = receiver.requestMethods;
-    const method = isAnswer ? asked.get(message.id) : message.method;
+    const requestMethods = receiver.requestMethods;
+    const method = isAnswer ? requestMethods.get(message.id) : message.method;
     if (isAnswer) {
-      asked.delete(message.id);
+      requestMethods.delete(message.id);
     } else if (message.id !== undefined && method !== undefined) {
       sender.requestMethods.set(message.id, method);
     }
     return {from: sender.host, to: receiver.host, method, isAnswer, message};
   }
 
-  function judge(
+  function apply(
     sender: Endpoint,
     receiver: Endpoint,
     original: object,
-  ): MessageFate {
-    const message = inspect(sender, receiver, original);
-    let fate = UNHARMED;
+  ): MessageEffect {
+    const message = describeMessage(sender, receiver, original);
+    let effect = NO_EFFECT;
     for (const rule of rules) {
       if (!rule.predicate(message)) {
         continue;
@@ -94,12 +94,12 @@
       if (rule.remaining <= 0) {
         rules.delete(rule);
       }
-      fate = {
-        lost: fate.lost || rule.delay === undefined,
-        delay: fate.delay + (rule.delay ?? 0),
+      effect = {
+        lost: effect.lost || rule.delay === undefined,
+        delay: effect.delay + (rule.delay ?? 0),
       };
     }
-    return fate;
+    return effect;
   }
 
   return {
@@ -107,6 +107,6 @@
       add({predicate, delay: undefined, remaining: count}),
     delay: (predicate, duration, count) =>
       add({predicate, delay: duration, remaining: count}),
-    judge,
+    apply,
   };
 }
--- a/packages/stand-ins/src/statement_group/run_record.ts
+++ b/packages/stand-ins/src/statement_group/run_record.ts
@@ -35,7 +35,7 @@
   readonly group: string;
   readonly target: string;
   readonly epoch: number;
-  /** Proxy that ordered the promotion. */
+  /** Holder of the epoch, which ordered the promotion. */
   readonly holder: string;
   /** Log of the new primary at the promotion. */
   readonly log: readonly LogRecord[];
