--- a/packages/stand-ins/src/platform/in_process_client.ts
+++ b/packages/stand-ins/src/platform/in_process_client.ts
@@ -1,4 +1,4 @@
-/** A client of the platform stand-in for virtual time. */
+/** In-process client of the platform stand-in, for virtual time. */
 import type {PlatformClient, PlatformReply} from '@kelpstep/platform';
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {
@@ -12,32 +12,32 @@
 import type {Platform} from './platform';
 import type {PlatformOperation} from './platform_faults';
 
-/** What a client is made of. */
+/** Options of `createInProcessPlatformClient`. */
 export interface InProcessPlatformClientOptions {
   readonly platform: Platform;
-  /** Of the client's host, so that a frozen host gets answers late. */
+  /** Timer of the client's host; a frozen host gets its answers on thaw. */
   readonly timer: TimerService;
-  /** Of the platform: goes on while the client's host is frozen. */
+  /** Timer of the platform, which runs while the client's host is frozen. */
   readonly platformTimer?: TimerService;
-  /** False while the client is cut off; by default it never is. */
+  /** False while the client is partitioned from the platform; default true. */
   readonly isReachable?: () => boolean;
-  /** How long an answer is waited for; 1000 ms by default. */
+  /** Time after which an unanswered call fails; 1000 ms by default. */
   readonly timeout?: Milliseconds;
 }
 
-const DEFAULT_TIMEOUT: Milliseconds = 1000;
+const DEFAULT_TIMEOUT_MS: Milliseconds = 1000;
 
-/** Creates a client; each has its own way to the platform. */
+/** Creates a client; each client has its own reachability and timeout. */
 export function createInProcessPlatformClient(
   options: InProcessPlatformClientOptions,
 ): PlatformClient {
   const {platform, timer} = options;
   const platformTimer = options.platformTimer ?? timer;
   const isReachable = options.isReachable ?? (() => true);
-  const timeout = options.timeout ?? DEFAULT_TIMEOUT;
+  const timeout = options.timeout ?? DEFAULT_TIMEOUT_MS;
 
-  /** The request has arrived; the answer leaves unless a fault takes it. */
-  function arrive<T>(
+  /** Handles a request on arrival and sends the answer, subject to faults. */
+  function handleArrival<T>(
     operation: PlatformOperation,
     effect: () => Result<T, Failure>,
     answer: Deferred<Result<T, Failure>>,
@@ -71,7 +71,7 @@
     );
     answer.future.onSettled(cancelTimeout);
     platformTimer.after(travelTime, () =>
-      arrive(operation, effect, answer, travelTime),
+      handleArrival(operation, effect, answer, travelTime),
     );
     return answer.future;
   }
--- a/packages/stand-ins/src/platform/platform.ts
+++ b/packages/stand-ins/src/platform/platform.ts
@@ -1,4 +1,4 @@
-/** The platform in memory: table service, object store, instance list. */
+/** In-memory platform: table service, object store and instance list. */
 import type {ListedInstance} from '@kelpstep/protocol';
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 import {createHash} from 'node:crypto';
@@ -10,29 +10,29 @@
 } from './platform_faults';
 import {TablesService, createTablesService} from './tables_service';
 
-/** The platform behind its interfaces; calls take effect at once. */
+/** The platform without transport; calls take effect immediately. */
 export interface Platform extends TablesService {
-  /** Stores an object; false if the digest is another's. */
+  /** Stores an object; false if the digest doesn't match the body. */
   putObject(digest: string, body: string): boolean;
   getObject(digest: string): string | undefined;
-  /** The list as it was the listing's lag ago. */
+  /** Returns the instance list as of `listingLag` milliseconds ago. */
   listInstances(): readonly ListedInstance[];
   setInstances(instances: readonly ListedInstance[]): void;
   faults(): PlatformFaults;
-  /** Changes faults; what is absent stays. */
+  /** Changes faults; absent fields keep their value. */
   configure(change: Partial<PlatformFaults>): void;
-  /** Counts a call; true if its answer is to be lost. */
+  /** Counts a call; true if its answer is to be dropped. */
   recordCall(operation: PlatformOperation): boolean;
-  /** Calls so far by operation. */
+  /** Number of calls so far by operation. */
   calls(): Readonly<Record<PlatformOperation, number>>;
 }
 
-interface Listing {
+interface InstanceListing {
   readonly since: Milliseconds;
   readonly instances: readonly ListedInstance[];
 }
 
-/** Digest of an object's body: SHA-256, hexadecimal. */
+/** Digest of an object's body: SHA-256 in hexadecimal. */
 export function digestOfObject(body: string): string {
   return createHash('sha256').update(body).digest('hex');
 }
@@ -40,7 +40,7 @@
 /** Creates an empty platform without faults. */
 export function createPlatform(timer: TimerService): Platform {
   const objects = new Map<string, string>();
-  const listings: Listing[] = [];
+  const listings: InstanceListing[] = [];
   const calls: Record<PlatformOperation, number> = {
     readRow: 0,
     writeRow: 0,
--- a/packages/stand-ins/src/platform/platform_faults.ts
+++ b/packages/stand-ins/src/platform/platform_faults.ts
@@ -1,9 +1,9 @@
-/** Faults of the platform stand-in; all can change while it runs. */
+/** Faults of the platform stand-in; all can change at run time. */
 import {z} from 'zod';
 
 const milliseconds = z.number().nonnegative();
 
-/** Operations, named as in `PlatformClient`. */
+/** Operations, named after the methods of `PlatformClient`. */
 export const platformOperationSchema = z.enum([
   'readRow',
   'writeRow',
@@ -14,25 +14,28 @@
 ]);
 export type PlatformOperation = z.infer<typeof platformOperationSchema>;
 
-/** Faults of the platform. */
+/** Faults that a test can switch on in the platform. */
 export const platformFaultsSchema = z.strictObject({
-  /** Time that each answer takes. */
+  /** Round-trip time of each call. */
   latency: milliseconds,
-  /** Time that each answer takes besides. */
+  /** Additional round-trip time, for a slow platform. */
   slowness: milliseconds,
-  /** `unavailable`: it says so; `silent`: it doesn't answer. */
+  /** `unavailable`: calls fail; `silent`: calls get no answer. */
   outage: z.enum(['none', 'unavailable', 'silent']),
-  /** The next answers of an operation, or of any, are lost. */
+  /**
+   * Drops the next `count` answers of an operation, or of any by default; the
+   * calls take effect.
+   */
   loseAnswers: z.strictObject({
     operation: platformOperationSchema.optional(),
     count: z.number().int().nonnegative(),
   }),
-  /** Age of the list of instances. */
+  /** Age of the returned list of instances. */
   listingLag: milliseconds,
 });
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>;
 
-/** No faults. */
+/** All faults switched off. */
 export const NO_PLATFORM_FAULTS: PlatformFaults = {
   latency: 0,
   slowness: 0,
--- a/packages/stand-ins/src/platform/platform_routes.ts
+++ b/packages/stand-ins/src/platform/platform_routes.ts
@@ -1,29 +1,29 @@
-/** What each path of the platform's HTTP interface does. */
+/** Routes of the platform's HTTP interface. */
 import {listedInstanceSchema} from '@kelpstep/protocol';
 import {z} from 'zod';
 
 import type {Platform} from './platform';
 import {PlatformOperation, platformFaultsSchema} from './platform_faults';
 
-/** A request, read whole. */
+/** A complete HTTP request. */
 export interface PlatformRequest {
   readonly method: string;
-  /** Decoded segments of the path. */
+  /** Decoded path segments. */
   readonly segments: readonly string[];
   readonly query: URLSearchParams;
   readonly body: string;
 }
 
-/** An answer: JSON, or text as it stands. */
+/** An HTTP response with a JSON body, a text body or no body. */
 export interface PlatformAnswer {
   readonly status: number;
   readonly json?: unknown;
   readonly text?: string;
 }
 
-/** A route that a request matches. */
+/** The route of one request. */
 export interface PlatformRoute {
-  /** `undefined`: for tests only, and past all faults. */
+  /** `undefined` for a test-only route, which faults don't affect. */
   readonly operation: PlatformOperation | undefined;
   readonly run: () => PlatformAnswer;
 }
@@ -40,13 +40,13 @@
   instances: z.array(listedInstanceSchema),
 });
 
-/** An error answer. */
+/** Creates an error response. */
 export function errorAnswer(status: number, error: string): PlatformAnswer {
   return {status, json: {error}};
 }
 
-/** Parses the body by a schema and runs the rest with it. */
-function withBody<T>(
+/** Validates the body and calls `run` with it; an invalid body gives 400. */
+function withParsedBody<T>(
   body: string,
   schema: z.ZodType<T>,
   run: (value: T) => PlatformAnswer,
@@ -81,11 +81,15 @@
   return {
     operation: 'writeRow',
     run: () =>
-      withBody(request.body, writeRowSchema, ({expectedVersion, value}) => {
-        const written = platform.writeRow(table, key, expectedVersion, value);
-        const status = written.ok ? 200 : 409;
-        return {status, json: {version: written.val}};
-      }),
+      withParsedBody(
+        request.body,
+        writeRowSchema,
+        ({expectedVersion, value}) => {
+          const written = platform.writeRow(table, key, expectedVersion, value);
+          const status = written.ok ? 200 : 409;
+          return {status, json: {version: written.val}};
+        },
+      ),
   };
 }
 
@@ -152,7 +156,7 @@
   return {
     operation: undefined,
     run: () =>
-      withBody(request.body, instanceListSchema, ({instances}) => {
+      withParsedBody(request.body, instanceListSchema, ({instances}) => {
         platform.setInstances(instances);
         return NO_CONTENT;
       }),
@@ -169,14 +173,14 @@
   return {
     operation: undefined,
     run: () =>
-      withBody(request.body, platformFaultsSchema.partial(), change => {
+      withParsedBody(request.body, platformFaultsSchema.partial(), change => {
         platform.configure(change);
         return NO_CONTENT;
       }),
   };
 }
 
-/** Finds the route of a request; `undefined` if there is none. */
+/** Returns the route of a request; `undefined` if no route matches. */
 export function findRoute(
   platform: Platform,
   request: PlatformRequest,
--- a/packages/stand-ins/src/platform/platform_server.ts
+++ b/packages/stand-ins/src/platform/platform_server.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in over HTTP; the README has its interface. */
+/** HTTP server of the platform stand-in; the README lists its routes. */
 import {TimerService, createRealTimer} from '@kelpstep/runtime';
 import {Address, parseAddress} from '@kelpstep/rpc';
 import {IncomingMessage, Server, ServerResponse, createServer} from 'node:http';
@@ -13,24 +13,24 @@
   findRoute,
 } from './platform_routes';
 
-/** What a server is made of. */
+/** Options of `startPlatformServer`. */
 export interface PlatformServerOptions {
-  /** Where it listens; port 0 means any free port. */
+  /** Listen address; port 0 selects a free port. */
   readonly address: Address;
   readonly timer?: TimerService;
   readonly faults?: Partial<PlatformFaults>;
 }
 
-/** A platform that serves. */
+/** A running platform server. */
 export interface PlatformServer {
   readonly address: Address;
-  /** What it serves, for tests in the same process. */
+  /** The served platform, for tests in the same process. */
   readonly platform: Platform;
-  /** Closes its port and its connections. */
+  /** Closes the port and all connections. */
   stop(): Promise<void>;
 }
 
-/** Longest body that is read, in bytes. */
+/** Maximum size of a request body. */
 const MAXIMUM_BODY_BYTES = 8 * 1024 * 1024;
 
 async function readBody(message: IncomingMessage): Promise<string | undefined> {
@@ -46,7 +46,7 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Decodes the path; `undefined` if its percent-encoding is wrong. */
+/** Decodes the path; `undefined` if its percent-encoding is invalid. */
 function decodePath(path: string): string[] | undefined {
   try {
     return path.split('/').slice(1).map(decodeURIComponent);
@@ -89,7 +89,7 @@
   response.end(content);
 }
 
-/** Starts a platform that is empty. */
+/** Starts a server with an empty platform; rejects if it can't listen. */
 export async function startPlatformServer(
   options: PlatformServerOptions,
 ): Promise<PlatformServer> {
@@ -97,20 +97,20 @@
   const platform = createPlatform(timer);
   platform.configure(options.faults ?? {});
 
-  function pause(duration: number): Promise<void> {
+  function sleep(duration: number): Promise<void> {
     return duration > 0
       ? new Promise(resolve => timer.after(duration, () => resolve()))
       : Promise.resolve();
   }
 
-  /** Faults act on the operations; half of the delay is before the effect. */
+  /** Runs a route with faults; half of the delay comes before the effect. */
   async function serveWithFaults(
     route: PlatformRoute,
     response: ServerResponse,
   ): Promise<void> {
     const {latency, slowness} = platform.faults();
     const travelTime = (latency + slowness) / 2;
-    await pause(travelTime);
+    await sleep(travelTime);
     const {outage} = platform.faults();
     if (outage === 'silent') {
       return;
@@ -122,7 +122,7 @@
     const isLost =
       route.operation !== undefined && platform.recordCall(route.operation);
     const answer = route.run();
-    await pause(travelTime);
+    await sleep(travelTime);
     if (isLost) {
       response.destroy();
     } else {
@@ -150,7 +150,7 @@
   }
 
   const server = createServer((message, response) => {
-    // A client that goes away while its body is read concerns nobody.
+    // A client that disconnects while its body is read needs no response.
     serve(message, response).catch(() => response.destroy());
   });
   const address = await listen(server, options.address);
--- a/packages/stand-ins/src/platform/tables_service.ts
+++ b/packages/stand-ins/src/platform/tables_service.ts
@@ -1,31 +1,34 @@
-/** The platform's table service: rows with versions. */
+/** The platform's table service: versioned rows. */
 import type {ListedRow, TableRow} from '@kelpstep/protocol';
 import {Err, Ok, Result} from 'ts-results';
 
-/** Rows by table and key. */
+/** Versioned rows, by table and key. */
 export interface TablesService {
-  /** Reads a row; version 0 and value null if there is none. */
+  /** Reads a row; version 0 and value null if it doesn't exist. */
   readRow(table: string, key: string): TableRow;
-  /** Writes a row at its expected version; else gives the version it has. */
+  /**
+   * Writes a row if it has the expected version. Returns the new version, or
+   * the current version as the error.
+   */
   writeRow(
     table: string,
     key: string,
     expectedVersion: number,
     value: unknown,
   ): Result<number, number>;
-  /** Rows whose key is greater than `after`, in key order. */
+  /** Returns rows with keys greater than `after`, in key order. */
   listRows(table: string, after: string, limit: number): ListedRow[];
 }
 
 interface StoredRow {
   readonly version: number;
-  /** JSON text, so that nobody shares objects with the platform. */
+  /** JSON text, so that no objects are shared with callers. */
   readonly text: string;
 }
 
 interface Table {
   readonly rows: Map<string, StoredRow>;
-  /** Keys in order; `undefined` after a new one until it is needed. */
+  /** Sorted keys; `undefined` if a key was added since the last listing. */
   sortedKeys: string[] | undefined;
 }
 
@@ -44,11 +47,11 @@
   return low;
 }
 
-/** Creates a service without tables. */
+/** Creates a table service without tables. */
 export function createTablesService(): TablesService {
   const tables = new Map<string, Table>();
 
-  function tableOf(name: string): Table {
+  function getOrCreateTable(name: string): Table {
     let table = tables.get(name);
     if (table === undefined) {
       table = {rows: new Map(), sortedKeys: []};
@@ -70,7 +73,7 @@
     expectedVersion: number,
     value: unknown,
   ): Result<number, number> {
-    const table = tableOf(name);
+    const table = getOrCreateTable(name);
     const version = table.rows.get(key)?.version ?? 0;
     if (version !== expectedVersion) {
       return Err(version);
@@ -84,7 +87,7 @@
   }
 
   function listRows(name: string, after: string, limit: number): ListedRow[] {
-    const table = tableOf(name);
+    const table = getOrCreateTable(name);
     const keys = (table.sortedKeys ??= [...table.rows.keys()].sort());
     const first = firstIndexAfter(keys, after);
     return keys
