--- a/packages/stand-ins/__tests__/database.spec.ts
+++ b/packages/stand-ins/__tests__/database.spec.ts
@@ -11,21 +11,21 @@
 import {describe, test} from 'node:test';
 
 import {DatabaseSettings, DatabaseConfiguration, standInConfigure} from '..';
-import {createGroup, keyOf, statement} from './group';
+import {createGroup, createKey, statement} from './group';
 
 const TERM = 1;
-const HOUR = 60 * 60 * 1000;
+const HOUR_MS = 60 * 60 * 1000;
 const GET = statement('get ?', 'x');
 
-/** A primary of its own, with short ways to use it. */
+/** Creates a group of one primary, with shorthand functions for its calls. */
 function createPrimary(settings: Partial<DatabaseSettings> = {}) {
   const group = createGroup(1, settings);
   group.promote(1, TERM);
   const {call, connect, send} = group;
 
-  function read(peer: RpcPeer, wanted = GET, transaction?: string) {
+  function read(peer: RpcPeer, query = GET, transaction?: string) {
     const outcome = call(peer, targetExecute, {
-      statement: wanted,
+      statement: query,
       mode: 'read',
       transaction,
     });
@@ -37,9 +37,13 @@
     return typeof outcome === 'string' ? outcome : outcome.transaction;
   }
 
-  function append(peer: RpcPeer, text: string, key?: ReturnType<typeof keyOf>) {
-    const wanted = statement('append ? ?', 'log', text);
-    return group.write(peer, TERM, wanted, key);
+  function append(
+    peer: RpcPeer,
+    text: string,
+    key?: ReturnType<typeof createKey>,
+  ) {
+    const appendStatement = statement('append ? ?', 'log', text);
+    return group.write(peer, TERM, appendStatement, key);
   }
 
   function setIn(peer: RpcPeer, transaction: string, value: number) {
@@ -50,7 +54,7 @@
     });
   }
 
-  /** Sends a statement that takes time, without waiting for it. */
+  /** Sends a statement that occupies a slot; doesn't wait for its answer. */
   function sendSleep(peer: RpcPeer, duration: number) {
     return send(peer, targetExecute, {
       statement: statement('sleep ?', duration),
@@ -65,8 +69,8 @@
   return {...group, read, begin, append, setIn, sendSleep, configure};
 }
 
-describe('statements of the database', () => {
-  test('work on values, numbers and lists', () => {
+describe('database statements', () => {
+  test('operate on values, numbers and lists', () => {
     const {connect, write, read} = createPrimary();
     const peer = connect(1);
     write(peer, TERM, statement('set ? ?', 'x', 'text'));
@@ -80,7 +84,7 @@
     expect(read(peer, statement('count ?', 'l'))).toEqual([[1]]);
   });
 
-  test('fail without a trace if they are faulty', () => {
+  test('fail without effect if they are invalid', () => {
     const {connect, write, read, control} = createPrimary();
     const peer = connect(1);
     write(peer, TERM, statement('set ? ?', 'x', 'text'));
@@ -100,41 +104,41 @@
   });
 });
 
-describe('an idempotency key', () => {
-  test('runs its statement once and repeats the recorded answer', () => {
+describe('idempotency keys', () => {
+  test('run a statement once and repeat the recorded answer', () => {
     const {connect, append, read} = createPrimary();
     const [first, second] = [connect(1), connect(1)];
     const answer = {rows: [[1]], at: {term: TERM, position: 2}};
-    expect(append(first, 'a', keyOf('k'))).toEqual({
+    expect(append(first, 'a', createKey('k'))).toEqual({
       ...answer,
       duplicate: false,
     });
-    expect(append(second, 'a', keyOf('k'))).toEqual({
+    expect(append(second, 'a', createKey('k'))).toEqual({
       ...answer,
       duplicate: true,
     });
     expect(read(first, statement('count ?', 'log'))).toEqual([[1]]);
   });
 
-  test('still holds when the answer was lost and the primary replaced', () => {
+  test('stay effective after a lost answer and a change of primary', () => {
     const {call, connect, promote, write, catchUp, send, control, timer} =
       createGroup(2);
     promote(1, 1);
     call(connect(1), standInConfigure, {
       loseAnswers: {method: 'target.execute', count: 1},
     });
-    const wanted = statement('append ? ?', 'log', 'a');
+    const appendStatement = statement('append ? ?', 'log', 'a');
     const lost = send(connect(1), targetExecute, {
-      statement: wanted,
+      statement: appendStatement,
       mode: 'write',
       term: 1,
-      key: keyOf('k'),
+      key: createKey('k'),
     });
     timer.advance(100);
     catchUp(2, 1);
     expect(lost.outcome).toEqual(undefined);
     promote(2, 2);
-    expect(write(connect(2), 2, wanted, keyOf('k'))).toEqual({
+    expect(write(connect(2), 2, appendStatement, createKey('k'))).toEqual({
       rows: [[1]],
       at: {term: 1, position: 2},
       duplicate: true,
@@ -142,21 +146,25 @@
     expect(control(2).inspect(statement('count ?', 'log'))).toEqual([[1]]);
   });
 
-  test('is refused for another statement, past its retention, or early', () => {
-    const {connect, append} = createPrimary({keyRetention: HOUR});
+  test('are refused if mismatched, expired or issued in the future', () => {
+    const {connect, append} = createPrimary({keyRetention: HOUR_MS});
     const peer = connect(1);
-    append(peer, 'a', keyOf('k'));
-    expect(append(peer, 'b', keyOf('k'))).toEqual('KEY_MISMATCH');
-    expect(append(peer, 'a', keyOf('old', 2 * HOUR))).toEqual('KEY_EXPIRED');
-    expect(append(peer, 'a', keyOf('new', -HOUR))).toEqual('KEY_FROM_FUTURE');
+    append(peer, 'a', createKey('k'));
+    expect(append(peer, 'b', createKey('k'))).toEqual('KEY_MISMATCH');
+    expect(append(peer, 'a', createKey('old', 2 * HOUR_MS))).toEqual(
+      'KEY_EXPIRED',
+    );
+    expect(append(peer, 'a', createKey('new', -HOUR_MS))).toEqual(
+      'KEY_FROM_FUTURE',
+    );
   });
 
-  test('is settled as recorded, or cancelled for good', () => {
+  test('are settled as recorded or cancelled permanently', () => {
     const {call, connect, append, control} = createPrimary();
     const peer = connect(1);
-    append(peer, 'a', keyOf('run'));
+    append(peer, 'a', createKey('run'));
     expect(
-      call(peer, targetSettleKey, {term: TERM, key: keyOf('run')}),
+      call(peer, targetSettleKey, {term: TERM, key: createKey('run')}),
     ).toEqual({
       state: 'recorded',
       execution: {
@@ -169,16 +177,16 @@
       state: 'cancelled' as const,
       at: {term: TERM, position: 3},
     };
-    const late = {term: TERM, key: keyOf('late')};
+    const late = {term: TERM, key: createKey('late')};
     expect(call(peer, targetSettleKey, late)).toEqual(cancelled);
     expect(call(peer, targetSettleKey, late)).toEqual(cancelled);
-    expect(append(peer, 'b', keyOf('late'))).toEqual('KEY_CANCELLED');
+    expect(append(peer, 'b', createKey('late'))).toEqual('KEY_CANCELLED');
     expect(control(1).inspect(statement('count ?', 'log'))).toEqual([[1]]);
   });
 });
 
-describe('a transaction', () => {
-  test('sees its own writes and shows them to others at its commit', () => {
+describe('transactions', () => {
+  test('see their own writes and publish them at the commit', () => {
     const {call, connect, begin, setIn, read} = createPrimary();
     const [own, other] = [connect(1), connect(1)];
     const transaction = begin(own);
@@ -193,12 +201,12 @@
     expect(read(other)).toEqual([[1]]);
   });
 
-  test('commits once per key, also from another connection', () => {
+  test('commit once per key, also from another connection', () => {
     const {call, connect, begin, setIn, control} = createPrimary();
     const own = connect(1);
     const transaction = begin(own);
     setIn(own, transaction, 1);
-    const commit = {transaction, key: keyOf('k')};
+    const commit = {transaction, key: createKey('k')};
     call(own, targetCommit, commit);
     expect(call(connect(1), targetCommit, commit)).toEqual({
       rows: [],
@@ -208,7 +216,7 @@
     expect(control(1).status().end.position).toEqual(2);
   });
 
-  test('is lost if another wrote what it used first', () => {
+  test('fail to commit after a conflicting write', () => {
     const {call, connect, begin, setIn, read, write} = createPrimary();
     const [own, other] = [connect(1), connect(1)];
     const transaction = begin(own);
@@ -218,7 +226,7 @@
     expect(read(other)).toEqual([[2]]);
   });
 
-  test('ends with its connection, a rollback or a fence', () => {
+  test('end with their connection, a rollback or a fence', () => {
     const group = createPrimary();
     const {call, connect, begin, setIn, control, promote, settle} = group;
     const [first, second, third] = [connect(1), connect(1), connect(1)];
@@ -244,7 +252,7 @@
     expect(control(1).inspect(GET)).toEqual([]);
   });
 
-  test('belongs to its connection', () => {
+  test('are bound to their connection', () => {
     const {connect, begin, setIn} = createPrimary();
     const transaction = begin(connect(1));
     expect(setIn(connect(1), transaction, 1)).toEqual('TRANSACTION_UNKNOWN');
@@ -252,7 +260,7 @@
 });
 
 describe('slots and connections', () => {
-  test('run as many statements as there are slots, in order', () => {
+  test('run at most one statement per slot, in order', () => {
     const {connect, sendSleep, timer, settle} = createPrimary({slots: 2});
     const start = timer.now();
     const ends: number[] = [];
@@ -264,7 +272,7 @@
     expect(ends).toEqual([1, 1, 2, 2]);
   });
 
-  test('refuse beyond the queue, but never a status', () => {
+  test('refuse statements over the queue limit, but no status requests', () => {
     const {connect, sendSleep, read, call, control, settle} = createPrimary({
       slots: 1,
       queueLimit: 1,
@@ -278,7 +286,7 @@
     expect(typeof status !== 'string' && status.term).toEqual(TERM);
   });
 
-  test('give back the place of a connection that ended while it waited', () => {
+  test('remove a waiting statement when its connection closes', () => {
     const {connect, sendSleep, control, settle} = createPrimary({slots: 1});
     const [first, second] = [connect(1), connect(1)];
     sendSleep(first, 1000);
@@ -299,7 +307,7 @@
     expect(timer.now() - start).toBeGreaterThan(200);
   });
 
-  test('refuse connections beyond the limit, then close them', () => {
+  test('refuse requests on connections over the limit, then close them', () => {
     const {connect, read, settle, control} = createPrimary({
       connectionLimit: 3,
     });
@@ -311,7 +319,7 @@
     expect(within.closed.isSettled()).toEqual(false);
   });
 
-  test('take the set-up time before the first answer', () => {
+  test('wait for the connection set-up time before the first answer', () => {
     const {connect, read, timer} = createPrimary({connectionSetup: 12});
     const peer = connect(1);
     const start = timer.now();
@@ -319,7 +327,7 @@
     expect(timer.now() - start).toBeGreaterThan(12);
   });
 
-  test('change while the database runs', () => {
+  test('can be reconfigured while the database runs', () => {
     const {configure, connect, read, timer} = createPrimary();
     const peer = connect(1);
     configure({serviceTime: 40, slots: 1});
--- a/packages/stand-ins/__tests__/fake_network.spec.ts
+++ b/packages/stand-ins/__tests__/fake_network.spec.ts
@@ -28,7 +28,7 @@
   z.number(),
 );
 
-/** A server that echoes and notes what arrived, and means to call it. */
+/** Creates a network with an echo server that records received values. */
 function createNetwork(seed = 1, jitter = 0) {
   const timer = createVirtualTimer();
   const trace: string[] = [];
@@ -66,13 +66,13 @@
     const outcome = dial();
     timer.runUntil(() => outcome.result !== undefined, 200);
     if (outcome.result === undefined || outcome.result.err) {
-      throw new Error('no connection');
+      throw new Error('The dial failed.');
     }
     const connection = outcome.result.val;
     return createRpcPeer({connection, timer: network.timerFor(CLIENT)});
   }
 
-  /** Sends a value; the list gets the answer or how the request failed. */
+  /** Sends a value; the returned list gets the answer or the failure kind. */
   function call(peer: RpcPeer, value: number, timeout = 50): unknown[] {
     const answers: unknown[] = [];
     peer
@@ -98,7 +98,7 @@
     expect(timer.now() - start).toEqual(4);
   });
 
-  test('keeps the order of a connection under jitter', () => {
+  test('keeps the message order of a connection under jitter', () => {
     const {timer, connect, call, arrived} = createNetwork(3, 10);
     const peer = connect();
     for (let value = 0; value < 50; value++) {
@@ -109,7 +109,7 @@
     expect(arrived).toEqual([...Array(50).keys()]);
   });
 
-  test('gives the same trace for the same seed', () => {
+  test('produces the same trace for the same seed', () => {
     function run(seed: number): string[] {
       const {timer, connect, call, trace} = createNetwork(seed, 3);
       const peers = [connect(), connect()];
@@ -121,7 +121,7 @@
     expect(run(5)).not.toEqual(run(6));
   });
 
-  test('lets a cut swallow packets and dials, and sends again after it', () => {
+  test('blocks traffic in a partition, then retransmits messages', () => {
     const {timer, network, connect, call, dial, arrived} = createNetwork();
     const peer = connect();
     network.cut(CLIENT, SERVER);
@@ -137,7 +137,7 @@
     expect(arrived).toEqual([1, 2]);
   });
 
-  test('can cut one direction only', () => {
+  test('can partition one direction only', () => {
     const {timer, network, connect, call, arrived} = createNetwork();
     const peer = connect();
     network.cutGroups([SERVER], [CLIENT], 'one-way');
@@ -147,7 +147,7 @@
     expect(answers).toEqual(['timeout']);
   });
 
-  test('silences open connections for good while new ones work', () => {
+  test('can drop the messages of open connections while new ones work', () => {
     const {timer, network, connect, call, arrived} = createNetwork();
     const old = connect();
     network.silence(CLIENT, SERVER);
@@ -171,7 +171,7 @@
     expect(outcome.result?.err && outcome.result.val.kind).toEqual('refused');
   });
 
-  test('lets dials to a removed host time out', () => {
+  test('times out dials to a removed host', () => {
     const {timer, network, connect, dial} = createNetwork();
     const peer = connect();
     network.removeHost(SERVER);
@@ -181,7 +181,7 @@
     expect(peer.closed.isSettled()).toEqual(false);
   });
 
-  test('holds timers and messages of a frozen host, not its kernel', () => {
+  test('delays timers and messages of a frozen host, but accepts dials', () => {
     const {timer, network, connect, call, dial, arrived} = createNetwork();
     const peer = connect();
     const fired: number[] = [];
@@ -197,7 +197,7 @@
     expect(fired).toEqual([timer.now()]);
   });
 
-  test('loses the answer but not the request', () => {
+  test('drops an answer but not its request', () => {
     const {timer, network, connect, call, arrived} = createNetwork();
     const peer = connect();
     network.loseAnswers(message => message.method === 'echo');
@@ -209,7 +209,7 @@
     expect(answers).toEqual([2]);
   });
 
-  test('delays a message past those of other connections', () => {
+  test('delays a message without delaying other connections', () => {
     const {timer, network, connect, call, arrived} = createNetwork();
     const [slow, fast] = [connect(), connect()];
     network.delayMessages(message => !message.isAnswer, 20, 1);
@@ -219,7 +219,7 @@
     expect(arrived).toEqual([2, 1]);
   });
 
-  test('gives a host a wall clock of its own', () => {
+  test('gives each host its own wall clock offset', () => {
     const {timer, network} = createNetwork();
     network.timerFor(SERVER).setWallClockOffset(-500);
     const difference = timer.wallClock() - network.timerFor(SERVER).wallClock();
--- a/packages/stand-ins/__tests__/group.ts
+++ b/packages/stand-ins/__tests__/group.ts
@@ -1,4 +1,4 @@
-/** A group of databases in virtual time, with means to call them. */
+/** Test fixture: a group of databases in virtual time. */
 import {
   ErrorName,
   Execution,
@@ -22,15 +22,15 @@
 import {DatabaseSettings, createDatabase, createFakeNetwork} from '..';
 
 export const PROXY = '10.0.1.1';
-const REQUEST_TIMEOUT = 60_000;
-const PATIENCE = 120_000;
+const REQUEST_TIMEOUT_MS = 60_000;
+const WAIT_TIMEOUT_MS = 120_000;
 
-/** Host of a member by number. */
+/** Host of a member; members are numbered from 1. */
 export function hostOfMember(member: number): string {
   return `10.0.0.${member}`;
 }
 
-/** Address of a member by number. */
+/** Address of a member; members are numbered from 1. */
 export function addressOfMember(member: number): string {
   return `${hostOfMember(member)}:7000`;
 }
@@ -39,15 +39,15 @@
   return {text, parameters};
 }
 
-/** A key issued an age ago. */
-export function keyOf(id: string, age = 0): IdempotencyKey {
+/** Creates a key issued `age` milliseconds before virtual time began. */
+export function createKey(id: string, age = 0): IdempotencyKey {
   return {id, issuedAt: VIRTUAL_EPOCH - age};
 }
 
-/** What became of a request: its result, or the name of its failure. */
+/** Outcome of a request: its result, or the name of its failure. */
 export type Outcome<R> = R | ErrorName;
 
-/** A request on its way; `outcome` is set once it is known. */
+/** A pending request; `outcome` is set when it has been answered. */
 export interface Pending<R> {
   outcome: Outcome<R> | undefined;
 }
@@ -84,14 +84,15 @@
   function control(member: number) {
     const database = databases[member - 1];
     if (database === undefined) {
-      throw new Error(`no member ${member}`);
+      throw new Error(`Unknown member ${member}.`);
     }
     return database.control;
   }
 
+  /** Advances virtual time until a condition holds. */
   function settle(condition: () => boolean): void {
-    if (!timer.runUntil(condition, PATIENCE)) {
-      throw new Error('The condition did not come about.');
+    if (!timer.runUntil(condition, WAIT_TIMEOUT_MS)) {
+      throw new Error('Timed out waiting for a condition.');
     }
   }
 
@@ -109,7 +110,7 @@
     return peers[0] as RpcPeer;
   }
 
-  /** Sends a request without waiting. */
+  /** Sends a request and doesn't wait for its outcome. */
   function send<P, R>(
     peer: RpcPeer,
     method: Method<P, R>,
@@ -117,7 +118,7 @@
   ): Pending<R> {
     const pending: Pending<R> = {outcome: undefined};
     peer
-      .request(method, parameters, REQUEST_TIMEOUT)
+      .request(method, parameters, REQUEST_TIMEOUT_MS)
       .onSettled(
         reply =>
           (pending.outcome = reply.ok ? reply.val : reply.val.failure.name),
@@ -139,18 +140,18 @@
   function write(
     peer: RpcPeer,
     term: number,
-    wanted: Statement,
+    writeStatement: Statement,
     key?: IdempotencyKey,
   ): Outcome<Execution> {
     return call(peer, targetExecute, {
-      statement: wanted,
+      statement: writeStatement,
       mode: 'write',
       term,
       key,
     });
   }
 
-  /** Promotes a member of a term and lets the others follow it. */
+  /** Promotes a member to primary of a term; the other members follow it. */
   function promote(
     primary: number,
     term: number,
@@ -167,12 +168,14 @@
     }
   }
 
-  /** Waits until a member's log ends where another's does. */
+  /** Waits until a member's log has the same end as the primary's. */
   function catchUp(member: number, primary: number): void {
     settle(() => {
       const [left, right] = [control(member), control(primary)];
-      const [end, wanted] = [left.status().end, right.status().end];
-      return end.term === wanted.term && end.position === wanted.position;
+      const [end, primaryEnd] = [left.status().end, right.status().end];
+      return (
+        end.term === primaryEnd.term && end.position === primaryEnd.position
+      );
     });
   }
 
--- a/packages/stand-ins/__tests__/platform.spec.ts
+++ b/packages/stand-ins/__tests__/platform.spec.ts
@@ -37,7 +37,7 @@
     isReachable: () => reachable,
   });
 
-  /** The result of a call, or the name of its failure, and how long it took. */
+  /** Waits for a call; returns its result or failure name and its duration. */
   function outcome(reply: Future<{ok: boolean; val: unknown}>) {
     const start = timer.now();
     const results: unknown[] = [];
@@ -56,7 +56,7 @@
 }
 
 describe('the platform in virtual time', () => {
-  test('compares and sets rows', () => {
+  test('writes a row only at its expected version', () => {
     const {client, outcome} = createClient();
     const first = outcome(client.writeRow('t', 'k', 0, {a: 1}));
     expect(first).toEqual({value: 1, took: 10});
@@ -73,7 +73,7 @@
     });
   });
 
-  test('lists rows in key order, a page at a time', () => {
+  test('lists rows in key order, one page at a time', () => {
     const {client, outcome} = createClient();
     for (const key of ['c', 'a', 'b']) {
       outcome(client.writeRow('t', key, 0, key));
@@ -83,7 +83,7 @@
     ]);
   });
 
-  test('keeps objects by digest', () => {
+  test('stores objects by digest', () => {
     const {client, outcome} = createClient();
     const digest = digestOfObject('text');
     expect(outcome(client.getObject(digest)).value).toEqual('OBJECT_MISSING');
@@ -94,7 +94,7 @@
     );
   });
 
-  test('loses an answer after the effect', () => {
+  test('drops an answer after the call has taken effect', () => {
     const {client, outcome, platform} = createClient();
     platform.configure({loseAnswers: {operation: 'writeRow', count: 1}});
     expect(outcome(client.readRow('t', 'k')).value).toEqual({
@@ -111,7 +111,7 @@
     });
   });
 
-  test('is out, silent, slow or cut off', () => {
+  test('can be unavailable, unresponsive, slow or unreachable', () => {
     const {client, outcome, platform, setReachable} = createClient();
     const unavailable = 'PLATFORM_UNAVAILABLE';
     platform.configure({outage: 'unavailable'});
@@ -199,7 +199,7 @@
       expect(JSON.parse(listed.text)).toEqual({instances: [INSTANCE]});
     }));
 
-  test('agrees with the HTTP client of the platform', () =>
+  test('works with the HTTP client of the platform', () =>
     withServer(async (unusedRequest, {address, platform}) => {
       platform.setInstances([INSTANCE]);
       const client = createHttpPlatformClient({
@@ -233,7 +233,7 @@
       ]);
     }));
 
-  test('refuses what is malformed', () =>
+  test('refuses malformed requests', () =>
     withServer(async request => {
       const statuses = [
         await request('PUT', '/tables/t/rows/k', '{"expected'),
@@ -247,7 +247,7 @@
       expect(statuses).toEqual([400, 400, 400, 400, 400, 404, 404]);
     }));
 
-  test('has the same faults', () =>
+  test('injects the same faults', () =>
     withServer(async (request, {platform}) => {
       const row = '/tables/t/rows/k';
       await request('POST', '/faults', {
--- a/packages/stand-ins/__tests__/processes.spec.ts
+++ b/packages/stand-ins/__tests__/processes.spec.ts
@@ -17,11 +17,11 @@
 import {startEmbeddedStandIns} from '..';
 import {statement} from './group';
 
-const TIMEOUT = 10_000;
+const TIMEOUT_MS = 10_000;
 
 async function connect(address: string): Promise<RpcPeer> {
   const dialled = await promiseFromFuture(
-    createTcpTransport().dial(address, TIMEOUT),
+    createTcpTransport().dial(address, TIMEOUT_MS),
   );
   const connection = dialled.unwrap();
   return createRpcPeer({connection, timer: createRealTimer()});
@@ -33,16 +33,16 @@
   parameters: P,
 ): Promise<R> {
   const reply = await promiseFromFuture(
-    peer.request(method, parameters, TIMEOUT),
+    peer.request(method, parameters, TIMEOUT_MS),
   );
   return reply.unwrap();
 }
 
 /** Starts a stand-in as a process and waits until it listens. */
-async function startProcess(...words: string[]) {
+async function startProcess(...commandArguments: string[]) {
   const child = spawn(
     process.execPath,
-    ['--import', 'tsx', 'packages/stand-ins/src/main.ts', ...words],
+    ['--import', 'tsx', 'packages/stand-ins/src/main.ts', ...commandArguments],
     {stdio: ['ignore', 'pipe', 'inherit']},
   );
   const [line] = (await once(createInterface(child.stdout), 'line')) as [
@@ -59,7 +59,7 @@
 }
 
 describe('stand-ins as processes', () => {
-  test('serve until SIGTERM, with settings of the command line', async () => {
+  test('serve until SIGTERM with settings from the command line', async () => {
     const database = await startProcess(
       'database',
       ...['--address', '127.0.0.1:0', '--id', 'fukuoka-1', '--slots', '5'],
@@ -77,7 +77,7 @@
 });
 
 describe('embedded stand-ins', () => {
-  test('replicate over real TCP', async () => {
+  test('replicate over TCP', async () => {
     const standIns = await startEmbeddedStandIns({
       members: [{id: 'lima-1'}, {id: 'lima-2', settings: {lag: 20}}],
       settings: {slots: 5},
@@ -87,7 +87,7 @@
       standIns.databases.map(({address}) => connect(address)),
     );
     if (!first || !second || !primary || !replica) {
-      throw new Error('two databases were asked for');
+      throw new Error('Expected two databases.');
     }
     await call(primary, targetFence, {term: 1});
     await call(replica, targetFence, {term: 1});
--- a/packages/stand-ins/__tests__/replication.spec.ts
+++ b/packages/stand-ins/__tests__/replication.spec.ts
@@ -18,7 +18,7 @@
   addressOfMember,
   createGroup,
   hostOfMember,
-  keyOf,
+  createKey,
   statement,
 } from './group';
 
@@ -33,7 +33,7 @@
 }
 
 describe('a group of databases', () => {
-  test('starts empty, in no term', () => {
+  test('starts empty in term 0', () => {
     const {call, connect} = createGroup(1);
     const status = call(connect(1), targetStatus, {});
     expect<unknown>(status).toEqual({
@@ -50,7 +50,7 @@
     });
   });
 
-  test('is catching up until it holds what its primary had', () => {
+  test('is catching up until it has the records of its primary', () => {
     const {promote, connect, write, call, control, settle, timer} = createGroup(
       2,
       {lag: 50},
@@ -72,7 +72,7 @@
     const {promote, connect, write, catchUp, control} = createGroup(3);
     promote(1, 5);
     const peer = connect(1);
-    write(peer, 5, entry('a'), keyOf('k'));
+    write(peer, 5, entry('a'), createKey('k'));
     write(peer, 5, entry('b'));
     catchUp(2, 1);
     catchUp(3, 1);
@@ -81,7 +81,7 @@
     expect(control(3).status().history).toEqual([{term: 5, firstPosition: 1}]);
   });
 
-  test('holds records back on a replica that lags', () => {
+  test('delays records on a lagging replica', () => {
     const {promote, connect, write, catchUp, control, timer} = createGroup(2);
     promote(1, 1);
     catchUp(2, 1);
@@ -95,7 +95,7 @@
     expect(timer.now() - start).toBeLessThan(520);
   });
 
-  test('drops what a lagging replica had not applied when it is fenced', () => {
+  test('discards unapplied records of a lagging replica at a fence', () => {
     const {promote, connect, write, call, catchUp, control, timer} =
       createGroup(2);
     promote(1, 1);
@@ -112,7 +112,7 @@
     expect(control(2).inspect(LIST)).toEqual([]);
   });
 
-  test('undoes the records of a deposed primary that nobody else has', () => {
+  test('reverts unreplicated records of a former primary', () => {
     const {promote, connect, write, catchUp, control, network, timer, call} =
       createGroup(3);
     promote(1, 1);
@@ -120,7 +120,7 @@
     catchUp(2, 1);
     catchUp(3, 1);
     network.cutGroups([hostOfMember(1)], [hostOfMember(2), hostOfMember(3)]);
-    write(connect(1), 1, entry('lost'), keyOf('lost'));
+    write(connect(1), 1, entry('lost'), createKey('lost'));
     write(connect(1), 1, entry('lost too'));
     promote(2, 2, [3]);
     write(connect(2), 2, entry('new'));
@@ -135,14 +135,14 @@
       {term: 2, firstPosition: 3},
     ]);
     promote(1, 3);
-    expect(write(connect(1), 3, entry('again'), keyOf('lost'))).toEqual({
+    expect(write(connect(1), 3, entry('again'), createKey('lost'))).toEqual({
       rows: [[3]],
       at: {term: 3, position: 6},
       duplicate: false,
     });
   });
 
-  test('refuses lower terms once it is fenced', () => {
+  test('refuses lower terms after a fence', () => {
     const {promote, connect, write, call, catchUp, control} = createGroup(2);
     promote(1, 4);
     catchUp(2, 1);
@@ -165,7 +165,7 @@
     });
   });
 
-  test('replicates nothing more from a primary below its fence', () => {
+  test('stops replication from a primary with a term below the fence', () => {
     const {promote, connect, write, call, catchUp, control, timer} =
       createGroup(2);
     promote(1, 1);
@@ -176,7 +176,7 @@
     expect(control(2).status().end).toEqual({term: 1, position: 1});
   });
 
-  test('takes a configuration only in place of the one that is meant', () => {
+  test('accepts a configuration only if it replaces the current one', () => {
     const {connect, call, catchUp, control} = createGroup(2);
     const first = configurationOf('a');
     const second = configurationOf('b');
@@ -198,7 +198,7 @@
     );
     call(replica, targetFollow, {term: 1, primary: addressOfMember(1)});
     catchUp(2, 1);
-    // A later barrier keeps the configuration of the log.
+    // The barrier of a later term keeps the configuration in the log.
     call(replica, targetFence, {term: 2});
     call(replica, targetPromote, {term: 2, configuration: third});
     const held = {...second, at: {term: 1, position: 2}};
@@ -210,7 +210,7 @@
     expect(call(replica, targetReconfigure, next)).toEqual('WRITES_PAUSED');
   });
 
-  test('pauses writes for a switch-over, then goes on', () => {
+  test('pauses writes for a switch-over and resumes them', () => {
     const {promote, connect, write, call, timer} = createGroup(1);
     promote(1, 1);
     const peer = connect(1);
@@ -226,7 +226,7 @@
     });
   });
 
-  test('replicates again after its connection went silent', () => {
+  test('resumes replication after its connection became unresponsive', () => {
     const {promote, connect, write, catchUp, network, timer} = createGroup(2);
     promote(1, 1);
     catchUp(2, 1);
@@ -236,7 +236,7 @@
     catchUp(2, 1);
   });
 
-  test('streams positions: at once, on changes and as heartbeats', () => {
+  test('streams positions initially, on changes and as heartbeats', () => {
     const {promote, connect, write, call, timer, network} = createGroup(1);
     promote(1, 1);
     const peer = connect(1);
@@ -255,7 +255,7 @@
     expect(seen.length).toEqual(12);
   });
 
-  test('gives the same trace for the same seed, faults and all', () => {
+  test('produces the same trace for the same seed, including faults', () => {
     function run(seed: number): string[] {
       const {promote, connect, write, network, timer, trace} = createGroup(
         3,
--- a/packages/stand-ins/index.ts
+++ b/packages/stand-ins/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of target, platform and network for tests, demo and bench. */
+/** Stand-ins for targets, platform and network in tests, demo and benchmark. */
 export * from './src/network/fake_network';
 export * from './src/network/host_timer';
 export type * from './src/network/message_rules';
--- a/packages/stand-ins/src/database/store.ts
+++ b/packages/stand-ins/src/database/store.ts
@@ -48,7 +48,7 @@
   history(): TermHistory;
   /** Latest configuration in the applied log. */
   configuration(): LoggedConfiguration | undefined;
-  /** Outline of the whole log, including records not applied yet. */
+  /** Summary of the whole log, including records not applied yet. */
   received(): LogSummary;
   recordsAfter(position: number, limit: number): LogRecord[];
   /** Executes statements and appends one record; a failure changes nothing. */
--- a/packages/stand-ins/src/embedded.ts
+++ b/packages/stand-ins/src/embedded.ts
@@ -1,4 +1,4 @@
-/** Databases and platform on loopback within this process, for the demo. */
+/** Runs databases and the platform in this process, on loopback. */
 import type {ListedInstance} from '@kelpstep/protocol';
 import {
   createRandom,
@@ -13,49 +13,49 @@
 import type {DatabaseSettings} from './database/database_settings';
 import {PlatformServer, startPlatformServer} from './platform/platform_server';
 
-/** A database to start. */
+/** Options of one database. */
 export interface EmbeddedMember {
   /** Member id, as in the manifest. */
   readonly id: string;
-  /** Where it listens; any free port of 127.0.0.1 by default. */
+  /** Listen address; a free port on 127.0.0.1 by default. */
   readonly address?: Address;
-  /** Settings that differ from those of all. */
+  /** Settings that override the defaults. */
   readonly settings?: Partial<DatabaseSettings>;
 }
 
-/** What to start. */
+/** Options of `startEmbeddedStandIns`. */
 export interface EmbeddedStandInsOptions {
   readonly members: readonly EmbeddedMember[];
-  /** Settings of all databases. */
+  /** Settings of all databases; those of a member take precedence. */
   readonly settings?: Partial<DatabaseSettings>;
-  /** Where the platform listens; any free port by default. */
+  /** Listen address of the platform; a free port on 127.0.0.1 by default. */
   readonly platformAddress?: Address;
-  /** The platform's list; empty by default. */
+  /** Instance list of the platform; empty by default. */
   readonly instances?: readonly ListedInstance[];
 }
 
-/** A database that runs, with its address. */
+/** A running database with its address. */
 export interface EmbeddedDatabase extends Database {
   readonly id: string;
   readonly address: Address;
 }
 
-/** Stand-ins that run. */
+/** Running stand-ins. */
 export interface EmbeddedStandIns {
   readonly platform: PlatformServer;
-  /** In the order of the members. */
+  /** Databases in the order of the members. */
   readonly databases: readonly EmbeddedDatabase[];
   stop(): Promise<void>;
 }
 
 const ANY_PORT: Address = '127.0.0.1:0';
-const HIGHEST_SEED = 0x7fffffff;
+const MAXIMUM_SEED = 0x7fffffff;
 
-/** A database on real sockets and time; rejects if it can't listen. */
+/** Starts a database on TCP and real time; rejects if it can't listen. */
 export async function startDatabase(
   member: EmbeddedMember,
 ): Promise<EmbeddedDatabase> {
-  const random = createRandom(randomInt(HIGHEST_SEED));
+  const random = createRandom(randomInt(MAXIMUM_SEED));
   const database = createDatabase({
     runtime: createRuntime({timer: createRealTimer(), random}),
     transport: createTcpTransport(),
@@ -72,7 +72,7 @@
   return {...database, id: member.id, address: listening.val};
 }
 
-/** Starts databases and platform; rejects if one can't listen. */
+/** Starts the platform and the databases; rejects if one can't listen. */
 export async function startEmbeddedStandIns(
   options: EmbeddedStandInsOptions,
 ): Promise<EmbeddedStandIns> {
--- a/packages/stand-ins/src/fifo.ts
+++ b/packages/stand-ins/src/fifo.ts
@@ -1,16 +1,16 @@
-/** A first-in, first-out queue whose operations take constant time. */
+/** A first-in, first-out queue. */
 
-/** A queue. */
+/** A queue; `push` and `shift` take amortized constant time. */
 export interface Fifo<T> {
   push(item: T): void;
-  /** Takes the oldest item. */
+  /** Removes and returns the oldest item; `undefined` if there is none. */
   shift(): T | undefined;
   size(): number;
-  /** Takes all items, the oldest first. */
+  /** Removes and returns all items, oldest first. */
   drain(): T[];
 }
 
-/** Spent entries at the front beyond which the array is cut. */
+/** Number of unused entries at the front that allows compacting the array. */
 const COMPACTION_THRESHOLD = 1024;
 
 /** Creates an empty queue. */
--- a/packages/stand-ins/src/free_addresses.ts
+++ b/packages/stand-ins/src/free_addresses.ts
@@ -1,10 +1,10 @@
-/** Finds ports that are free on loopback. */
+/** Finds free ports on loopback. */
 import {createTcpTransport} from '@kelpstep/rpc';
 import {promiseFromFuture} from '@kelpstep/runtime';
 
 const ANY_PORT = '127.0.0.1:0';
 
-/** Gives addresses that nobody listens on, all different. */
+/** Returns distinct addresses on 127.0.0.1 that no process listens on. */
 export async function freeAddresses(count: number): Promise<string[]> {
   const transport = createTcpTransport();
   const listeners = [];
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,4 +1,4 @@
-/** The stand-ins as processes of their own: `npm run stand-in -- --help`. */
+/** Runs a stand-in as a process: `npm run stand-in -- --help`. */
 import yargs, {type Argv} from 'yargs';
 import {hideBin} from 'yargs/helpers';
 import {z} from 'zod';
@@ -16,14 +16,14 @@
 
 const EXIT_FAILURE = 1;
 
-/** Something that runs until the process is told to stop. */
-interface Running {
+/** A stand-in that runs until the process gets a signal. */
+interface RunningStandIn {
   readonly address: string;
   stop(): unknown;
 }
 
-/** Option names are the settings' names in kebab case. */
-function addNumbers<T extends object>(
+/** Adds numeric options, named after the settings in kebab case. */
+function addNumberOptions<T extends object>(
   parser: Argv<T>,
   defaults: Readonly<Record<string, number>>,
 ): Argv<T> {
@@ -42,23 +42,23 @@
   return name.replace(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
 }
 
-/** Picks the settings out of the parsed command line. */
-function pick(
+/** Picks the named settings from the parsed command line. */
+function pickSettings(
   parsed: Readonly<Record<string, unknown>>,
   names: readonly string[],
 ): Record<string, unknown> {
   return Object.fromEntries(names.map(name => [name, parsed[name]]));
 }
 
-function describe(error: unknown): string {
+function describeError(error: unknown): string {
   if (error instanceof z.ZodError) {
     return z.prettifyError(error);
   }
   return error instanceof Error ? error.message : String(error);
 }
 
-/** Tells that it listens, and stops on a signal. */
-async function run(starting: Promise<Running>): Promise<void> {
+/** Reports the address on standard output; stops on SIGTERM or SIGINT. */
+async function run(starting: Promise<RunningStandIn>): Promise<void> {
   const running = await starting;
   const line = {event: 'listening', address: running.address};
   process.stdout.write(`${JSON.stringify(line)}\n`);
@@ -69,7 +69,7 @@
   }
 }
 
-const PLATFORM_NUMBERS = {
+const PLATFORM_DEFAULTS = {
   latency: NO_PLATFORM_FAULTS.latency,
   slowness: NO_PLATFORM_FAULTS.slowness,
   listingLag: NO_PLATFORM_FAULTS.listingLag,
@@ -88,7 +88,7 @@
     'database',
     'A target of a group. Durations are in milliseconds.',
     parser =>
-      addNumbers(
+      addNumberOptions(
         parser.option('address', address).option('id', {
           type: 'string',
           demandOption: true,
@@ -103,7 +103,7 @@
           id: parsed.id,
           address: parsed.address,
           settings: databaseSettingsSchema.parse(
-            pick(parsed, Object.keys(DEFAULT_DATABASE_SETTINGS)),
+            pickSettings(parsed, Object.keys(DEFAULT_DATABASE_SETTINGS)),
           ),
         }),
       ),
@@ -111,22 +111,23 @@
   .command(
     'platform',
     'Table service, object store and instance list over HTTP.',
-    parser => addNumbers(parser.option('address', address), PLATFORM_NUMBERS),
+    parser =>
+      addNumberOptions(parser.option('address', address), PLATFORM_DEFAULTS),
     async parsed =>
       run(
         startPlatformServer({
           address: parsed.address,
           faults: platformFaultsSchema
             .partial()
-            .parse(pick(parsed, Object.keys(PLATFORM_NUMBERS))),
+            .parse(pickSettings(parsed, Object.keys(PLATFORM_DEFAULTS))),
         }),
       ),
   )
-  .demandCommand(1, 'Name a stand-in.')
+  .demandCommand(1, 'Specify a stand-in: database or platform.')
   .strict()
   .help()
   .version(false)
-  // Thrown, so that no command runs on a faulty command line.
+  // Throws, so that no command runs if the command line is invalid.
   .fail((message, error) => {
     throw error ?? new Error(message);
   });
@@ -135,7 +136,7 @@
   try {
     await commands.parseAsync();
   } catch (error) {
-    process.stderr.write(`stand-in: ${describe(error)}\n`);
+    process.stderr.write(`stand-in: ${describeError(error)}\n`);
     process.exitCode = EXIT_FAILURE;
   }
 }
--- a/packages/stand-ins/src/network/fake_network.ts
+++ b/packages/stand-ins/src/network/fake_network.ts
@@ -168,7 +168,7 @@
     }
   }
 
-  function silence(left: string, right: string): void {
+  function dropFrames(left: string, right: string): void {
     for (const [client, server] of connections.between(left, right)) {
       client.silent = true;
       server.silent = true;
@@ -197,7 +197,7 @@
     }
   }
 
-  function cutGroups(
+  function partitionPairs(
     from: readonly string[],
     to: readonly string[],
     direction: CutDirection = 'both',
@@ -226,12 +226,12 @@
         connect: connections.connect,
       }),
     timerFor: host => processOf(host).timer,
-    cut: (from, to, direction) => cutGroups([from], [to], direction),
-    cutGroups,
+    cut: (from, to, direction) => partitionPairs([from], [to], direction),
+    cutGroups: partitionPairs,
     heal,
     healAll,
     isCut: (from, to) => !links.canReach(from, to),
-    silence,
+    silence: dropFrames,
     killHost,
     removeHost,
     freezeHost: host => processOf(host).timer.freeze(),
--- a/packages/stand-ins/src/statement_group/pending_commits.ts
+++ b/packages/stand-ins/src/statement_group/pending_commits.ts
@@ -18,18 +18,18 @@
 
 /** Creates an empty set of commits. */
 export function createPendingCommits(): PendingCommits {
-  let pending: PendingCommit[] = [];
+  let waiting: PendingCommit[] = [];
   return {
-    add: (position, done) => void pending.push({position, done}),
+    add: (position, done) => void waiting.push({position, done}),
     acknowledge(position) {
-      const done = pending.filter(
+      const done = waiting.filter(
         commit => compareLogPositions(commit.position, position) <= 0,
       );
-      pending = pending.filter(commit => !done.includes(commit));
+      waiting = waiting.filter(commit => !done.includes(commit));
       done.forEach(commit => commit.done());
     },
     clear() {
-      pending = [];
+      waiting = [];
     },
   };
 }
--- a/packages/stand-ins/src/statement_group/stand_in_store.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_store.ts
@@ -51,6 +51,7 @@
 export interface StandInStoreOptions {
   readonly timer: TimerService;
   readonly random: Random;
+  /** Time between a call and its answer. */
   readonly answerTime: Milliseconds;
 }
 
@@ -128,7 +129,7 @@
   }
 
   function clientOf(name: string): TableStore {
-    /** Answers after `answerDelay`, unless a fault prevents it. */
+    /** Answers after `answerTime`, unless a fault prevents it. */
     function call<T>(
       table: string,
       answer: (settle: (reply: Result<T, StoreFailure>) => void) => void,
