--- a/packages/stand-ins/src/statement_group/stand_in_target.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target.ts
@@ -348,7 +348,7 @@
       [running, isPaused, role] = [true, false, 'replica'];
       log.restart(wiped);
     },
-    setDeaf: deaf => void (isReplicationBlocked = deaf),
+    setDeaf: isBlocked => void (isReplicationBlocked = isBlocked),
     receive,
     follow(nextTerm, primaryLog) {
       role = 'replica';
--- a/packages/stand-ins/src/statement_group/stand_in_target_types.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target_types.ts
@@ -42,7 +42,7 @@
   /** Starts the process as a replica, with an empty log if it is wiped. */
   start(wiped: boolean): void;
   /** Blocks or unblocks the receipt of records. */
-  setDeaf(deaf: boolean): void;
+  setDeaf(isBlocked: boolean): void;
   /** Appends records that follow a position; false if it can't take them. */
   receive(
     term: number,
