--- a/packages/stand-ins/src/statement_group/commit_waits.ts
+++ b/packages/stand-ins/src/statement_group/pending_commits.ts
@@ -1,23 +1,24 @@
-/** Commits of a primary that wait until a replica has received them. */
+/** Commits of a primary that are not yet acknowledged by a replica. */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 
-interface WaitingCommit {
+interface PendingCommit {
   readonly position: LogPosition;
   readonly done: () => void;
 }
 
-/** Commits that wait. */
-export interface CommitWaits {
+/** The unacknowledged commits of one primary. */
+export interface PendingCommits {
+  /** Calls `done` once a replica has received the log up to a position. */
   add(position: LogPosition, done: () => void): void;
-  /** A replica has received up to here. */
+  /** Reports that a replica has received the log up to a position. */
   acknowledge(position: LogPosition): void;
-  /** The target leads no more: nothing is acknowledged. */
+  /** Discards all commits unanswered, e.g. after a demotion. */
   clear(): void;
 }
 
-/** Creates them empty. */
-export function createCommitWaits(): CommitWaits {
-  let waiting: WaitingCommit[] = [];
+/** Creates an empty set of commits. */
+export function createPendingCommits(): PendingCommits {
+  let waiting: PendingCommit[] = [];
   return {
     add: (position, done) => void waiting.push({position, done}),
     acknowledge(position) {
