--- a/packages/accounts/index.ts
+++ b/packages/accounts/index.ts
@@ -1,4 +1,6 @@
-/** Client accounts: keys and quotas. */
+/**
+ * Public interface of the package: accounts by name or key, and their quotas.
+ */
 export * from './src/account_directory';
 export type {QuotaPeer} from './src/choose_coordinators';
 export * from './src/create_quota';
--- a/packages/accounts/src/account_directory.ts
+++ b/packages/accounts/src/account_directory.ts
@@ -8,7 +8,9 @@
   readonly burst: number;
 }
 
-/** A client account. */
+/**
+ * An account whose quota is charged for operations of the holders of its keys.
+ */
 export interface ClientAccount {
   readonly name: string;
   readonly keyDigests: readonly string[];
@@ -16,14 +18,16 @@
   readonly quota: QuotaLimit | undefined;
 }
 
-/** Accounts of one configuration. */
+/** Index of the accounts of one configuration by name and by key digest. */
 export interface AccountDirectory {
   /** The account with this key digest; undefined if there is none. */
   holderOf(keyDigest: string): ClientAccount | undefined;
   find(account: string): ClientAccount | undefined;
 }
 
-/** Creates a directory. */
+/**
+ * Indexes the accounts; of accounts with the same name or key the last counts.
+ */
 export function createAccountDirectory(
   accounts: readonly ClientAccount[],
 ): AccountDirectory {
--- a/packages/accounts/src/choose_coordinators.ts
+++ b/packages/accounts/src/choose_coordinators.ts
@@ -15,7 +15,6 @@
   readonly relayAddress: string;
 }
 
-/** Options for choosing coordinators. */
 export interface CoordinatorOptions {
   readonly self: QuotaPeer;
   /** Proxies in order of preference, which is the same on all proxies. */
@@ -23,7 +22,10 @@
   isUsable(peer: QuotaPeer): boolean;
 }
 
-/** The coordinators that a proxy uses. */
+/**
+ * The usable coordinators: at most one per area, and this proxy if there is no
+ * other.
+ */
 export interface QuotaCoordinators {
   /** The coordinator that the proxy leases its share to. */
   readonly home: QuotaPeer;
@@ -31,7 +33,10 @@
   readonly others: readonly QuotaPeer[];
 }
 
-/** Areas are regions, or data centres if there is only one region. */
+/**
+ * Returns a function that gives a peer's area: its region, or its data centre
+ * if all peers are in one region.
+ */
 function areaFunction(
   peers: readonly QuotaPeer[],
 ): (peer: QuotaPeer) => string {
@@ -39,7 +44,11 @@
   return regions.size > 1 ? ({region}) => region : ({dataCentre}) => dataCentre;
 }
 
-/** Chooses the first usable candidate of each area. */
+/**
+ * Chooses the first usable candidate of each area. If the own area has none,
+ * `home` is the first coordinator of another area; if there is no usable
+ * candidate at all, it is this proxy.
+ */
 export function chooseCoordinators(
   options: CoordinatorOptions,
 ): QuotaCoordinators {
--- a/packages/accounts/src/create_quota.ts
+++ b/packages/accounts/src/create_quota.ts
@@ -34,22 +34,29 @@
 } from './quota_messages';
 import {createQuotaPool} from './quota_pool';
 
-/** Options of quotas. */
+/**
+ * What quotas need from the proxy: limits, the list of proxies and requests.
+ */
 export interface QuotaOptions {
   readonly runtime: Runtime;
   readonly self: QuotaPeer;
-  /** The current limit of an account; undefined without one. */
+  /** The current limit of an account; undefined if the account is unlimited. */
   limitOf(account: string): VersionedLimit | undefined;
   /** True if any account has a limit; undefined while this is unknown. */
   hasLimits(): boolean | undefined;
-  /** Operations allowed beyond the limit when all proxies start at once. */
+  /**
+   * Operations allowed beyond an account's limit if all proxies start at once.
+   */
   startAllowance(limit: QuotaLimit): number;
   /** Proxies that may be coordinators, in the same order on all proxies. */
   candidates(): readonly QuotaPeer[];
   /** Number of proxies that share all quotas; undefined while it is unknown. */
   fleetSize(): number | undefined;
   isUsable(peer: QuotaPeer): boolean;
-  /** Sends a request to another proxy. */
+  /**
+   * Sends a request to another proxy; fails if it is unanswered after
+   * `timeout`.
+   */
   request<P, R>(
     peer: QuotaPeer,
     method: Method<P, R>,
@@ -58,26 +65,40 @@
   ): Future<Result<R, unknown>>;
 }
 
-/** Enforces the quotas of accounts. */
+/**
+ * Grants or refuses operations so that all proxies together keep the quotas.
+ */
 export interface Quota {
-  /** Requests one operation of an account, which is counted if granted. */
+  /**
+   * Requests one operation of an account, which is counted if granted. An
+   * account without a limit is always granted.
+   */
   take(account: string): Task<QuotaAnswer>;
-  /** Counts attempts beyond the granted operation. */
+  /** Counts further attempts that were made for one granted operation. */
   charge(account: string, count: number): void;
   /** Registers the handlers for requests of other proxies. */
   serve(handlers: HandlerTable): void;
-  /** Share of all quotas leased to this proxy now, from 0 to 1. */
+  /** Sum of the shares of all quotas leased to this proxy now, from 0 to 1. */
   lentPart(): number;
 }
 
-/** A lease is renewed several times within its duration. */
+/** Interval between renewals: several fit into the duration of a lease. */
 const LEASE_RENEWAL_INTERVAL_MS: Milliseconds = 500;
-/** Interval while no lease is granted: the share cannot be used meanwhile. */
+/**
+ * Interval between attempts while no lease is granted, because the share can't
+ * be used meanwhile.
+ */
 const LEASE_RETRY_INTERVAL_MS: Milliseconds = 100;
 const LEASE_INTERVAL_JITTER_RATIO = 0.2;
-/** Allows for a round trip between regions and a busy coordinator. */
+/**
+ * Timeout of a request: a round trip between regions and the delay of a busy
+ * coordinator.
+ */
 const REQUEST_TIMEOUT_MS: Milliseconds = 150;
-/** For an unresponsive coordinator: another one is chosen within this time. */
+/**
+ * Retry delay given to a caller if the coordinator doesn't answer: another one
+ * is chosen within this time.
+ */
 const UNANSWERED_RETRY_AFTER_MS: Milliseconds = 300;
 /**
  * Longest time until an exhausted coordinator is requested again for an
@@ -86,7 +107,7 @@
 const MAXIMUM_BACKOFF_MS: Milliseconds = 200;
 const PROCESS_ID_LENGTH = 12;
 
-/** State of a coordinator that has refused an account. */
+/** Backoff of one account at a coordinator that has refused it. */
 interface ExhaustedCoordinator {
   /** Monotonic time until which it is not requested again. */
   readonly until: Milliseconds;
@@ -107,11 +128,12 @@
   const shareLease = createShareLease();
   const suspension = createSuspensionGuard(timer);
   let hasGrantedLease = false;
-  /** Exhausted coordinators by `coordinator account`. */
+  /** Exhausted coordinators by key `coordinator account`. */
   const exhausted = new Map<string, ExhaustedCoordinator>();
 
   /**
-   * Created on first use, so that nothing is drawn at random without limits.
+   * Creates the id on first use, so that nothing is drawn at random without
+   * limits.
    */
   function processId(): string {
     knownProcessId ||= random.hexadecimal(PROCESS_ID_LENGTH);
@@ -126,7 +148,10 @@
     });
   }
 
-  /** Resets the pool after a suspension, in which leases may have expired. */
+  /**
+   * Returns the pool; resets it first after a suspension of the process,
+   * because leases may have expired meanwhile.
+   */
   function checkedPool() {
     if (suspension.hasSlept()) {
       pool.reset(timer.now());
@@ -212,7 +237,10 @@
     }
   }
 
-  /** The limit of the newer configuration. */
+  /**
+   * The requested limit, or this proxy's own if its configuration is as new or
+   * newer.
+   */
   function newerLimit(requested: VersionedLimit): VersionedLimit {
     const own = options.limitOf(requested.account);
     return own !== undefined && own.version >= requested.version
@@ -240,13 +268,17 @@
   }
 
   /**
-   * Keeps callers that are refused without a request from retrying together.
+   * Returns the delay increased by a random 0 to 100 %, so that callers refused
+   * without a request don't retry together.
    */
   function addJitter(retryAfter: Milliseconds): Milliseconds {
     return retryAfter * (1 + random.fraction());
   }
 
-  /** Requests an operation from one coordinator, unless it is in backoff. */
+  /**
+   * Requests an operation from one coordinator; refuses it without a request
+   * while the coordinator is in backoff for the account.
+   */
   function* tryCoordinator(
     coordinator: QuotaPeer,
     requested: VersionedLimit,
--- a/packages/accounts/src/quota_messages.ts
+++ b/packages/accounts/src/quota_messages.ts
@@ -6,7 +6,7 @@
 
 /**
  * Leases the sender's share of all quotas to the receiver, counted from
- * `reading`. Without a reading it only requests one.
+ * `reading`. Without a reading, only the receiver's clock reading is requested.
  */
 export const quotaLend = defineMethod(
   'quota.lend',
@@ -14,7 +14,7 @@
     lender: z.string(),
     /** The share, from 0 to 1. */
     part: z.number().min(0).max(1),
-    /** Id of the sender's process, until its first lease is granted. */
+    /** Id of the sender's process; sent until its first lease is granted. */
     startOf: z.string().optional(),
     reading: clockReadingSchema.optional(),
   }),
@@ -31,10 +31,10 @@
 });
 export type VersionedLimit = Readonly<z.infer<typeof versionedLimitSchema>>;
 
-/** Whether an operation may run. */
+/** Answer to the request of one operation. */
 const quotaAnswerSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('granted')}),
-  /** `retryAfter`: milliseconds. */
+  /** `retryAfter` is in milliseconds. */
   z.object({kind: z.literal('refused'), retryAfter: z.number()}),
 ]);
 export type QuotaAnswer = Readonly<z.infer<typeof quotaAnswerSchema>>;
--- a/packages/accounts/src/quota_pool.ts
+++ b/packages/accounts/src/quota_pool.ts
@@ -5,14 +5,15 @@
  *
  * Load pattern: one account sends many times its quota through all proxies
  * during a network partition. In any time span, a pool grants at most the burst
- * plus the rate over the span, multiplied by the leased share.
+ * plus the rate over the span, multiplied by the leased share, apart from the
+ * start allowance and rounding up to one operation.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {QuotaLimit} from './account_directory';
 import type {QuotaAnswer, VersionedLimit} from './quota_messages';
 
-/** A proxy's share of all quotas, as leased to this proxy. */
+/** The share of all quotas that one proxy leases to this proxy. */
 export interface LeasedShare {
   /** Name of the proxy that grants the lease. */
   readonly lender: string;
@@ -20,7 +21,7 @@
   readonly part: number;
   /** Time at which the lease expires. */
   readonly until: Milliseconds;
-  /** Process of the lender; set until its first lease is granted. */
+  /** Id of the lender's process; set until its first lease is granted. */
   readonly startOf?: string | undefined;
 }
 
@@ -33,7 +34,7 @@
   take(limit: VersionedLimit, now: Milliseconds): QuotaAnswer;
   /** Counts operations that ran without being granted. */
   charge(limit: VersionedLimit, count: number, now: Milliseconds): void;
-  /** Drops all leases and buckets, after the process was suspended. */
+  /** Drops all leases and buckets; to be called after a process suspension. */
   reset(now: Milliseconds): void;
 }
 
@@ -44,23 +45,20 @@
 
 interface Bucket {
   limit: VersionedLimit;
-  /**
-   * Operations that may run now; negative after granting or charging too many.
-   */
+  /** Operations that may run now; negative after granting or charging more. */
   tokens: number;
   /** `leasedTime` at the last refill. */
   refilledAt: number;
   /** `startedShares` at the last refill. */
   startedShares: number;
-  /** When the last refused caller is to retry. */
+  /** Monotonic time at which the last refused caller is to retry. */
   lastRetryAt: Milliseconds;
 }
 
-/** Callers retry within this time, as the quota may be raised meanwhile. */
+/** Longest retry delay, because the quota may be raised meanwhile. */
 const MAXIMUM_RETRY_AFTER_MS: Milliseconds = 2000;
 const SECOND_MS: Milliseconds = 1000;
 
-/** Options of a pool. */
 export interface QuotaPoolOptions {
   /**
    * Operations allowed beyond an account's limit when all proxies start at once
@@ -70,7 +68,7 @@
   startAllowance(limit: QuotaLimit): number;
 }
 
-/** Creates a pool without leases. */
+/** Creates a pool without leases, which refuses all operations. */
 export function createQuotaPool(options: QuotaPoolOptions): QuotaPool {
   const leases = new Map<string, Lease>();
   const startedProcesses = new Map<string, string>();
@@ -98,8 +96,9 @@
       nextExpiry = Math.min(nextExpiry, until);
     }
     if (sum !== leasedShare) {
-      // Refilled before and after the change: saved tokens are bounded by both
-      // shares, because the remainder may be saved by another coordinator.
+      // The buckets are refilled before and after the change: saved tokens are
+      // bounded by both shares, because the remainder may be saved by another
+      // coordinator.
       buckets.forEach(refill);
       leasedShare = sum;
       buckets.forEach(refill);
@@ -142,7 +141,8 @@
   }
 
   /**
-   * A higher burst is available at once; saved tokens are cut to a lower one.
+   * Adds the difference to a higher burst at once; cuts saved tokens to a lower
+   * burst.
    */
   function applyLimit(bucket: Bucket, limit: VersionedLimit): void {
     const added = Math.max(0, limit.burst - bucket.limit.burst) * leasedShare;
@@ -167,7 +167,10 @@
     return bucket;
   }
 
-  /** Spreads the retries of refused callers at the rate of the tokens. */
+  /**
+   * Refuses an operation; the retry times of successive refused callers are one
+   * token apart.
+   */
   function refuse(bucket: Bucket, now: Milliseconds): QuotaAnswer {
     const rate = bucket.limit.rate * leasedShare;
     if (rate === 0) {
--- a/packages/accounts/src/share_lease.ts
+++ b/packages/accounts/src/share_lease.ts
@@ -23,11 +23,19 @@
   readonly reading: ClockReading | undefined;
 }
 
-/** Lease of the own share. */
+/**
+ * Lease of this proxy's share, granted to at most one coordinator at a time.
+ */
 export interface ShareLease {
-  /** Undefined while another coordinator may hold the lease. */
+  /**
+   * Offers the lease to a coordinator, and counts it as granted if the offer
+   * has a reading. Undefined while another coordinator may hold the lease.
+   */
   offerTo(coordinator: string, now: Milliseconds): LeaseOffer | undefined;
-  /** Records a coordinator's reading; `receivedAt` is of this proxy's clock. */
+  /**
+   * Records a coordinator's reading; `receivedAt` is a time of this proxy's
+   * clock.
+   */
   recordReading(
     coordinator: string,
     reading: ClockReading,
@@ -35,7 +43,9 @@
   ): void;
 }
 
-/** Counted from the clock reading that the lease was offered with. */
+/**
+ * Duration of a lease, counted from the clock reading that it was offered with.
+ */
 export const LEASE_DURATION_MS: Milliseconds = 1600;
 
 interface KnownReading {
@@ -44,7 +54,7 @@
   readonly receivedAt: Milliseconds;
 }
 
-/** Creates a lease that is not granted. */
+/** Creates a lease that is not granted to any coordinator. */
 export function createShareLease(): ShareLease {
   let known: KnownReading | undefined;
   let grantedTo = '';
--- a/packages/accounts/src/start_allowance.ts
+++ b/packages/accounts/src/start_allowance.ts
@@ -13,12 +13,16 @@
 }
 
 /**
- * Part of the tolerance; requests in flight and a second start use the rest.
+ * Ratio of the tolerance used as allowance; requests in flight and a second
+ * start use the rest.
  */
 const START_ALLOWANCE_RATIO = 0.5;
 const SECOND_MS: Milliseconds = 1000;
 
-/** Creates an allowance within the tolerance; it is 0 without a tolerance. */
+/**
+ * Returns the number of operations allowed beyond a limit at the start, which
+ * is within the tolerance; 0 without a tolerance.
+ */
 export function createStartAllowance(
   tolerance: QuotaTolerance | undefined,
 ): (limit: QuotaLimit) => number {
--- a/packages/gateway/index.ts
+++ b/packages/gateway/index.ts
@@ -1,4 +1,6 @@
-/** Serves the statement sessions of callers. */
+/**
+ * Public interface of the package: serves the statement sessions of callers.
+ */
 export * from './src/caller_connection';
 export * from './src/configuration';
 export * from './src/create_gateway';
--- a/packages/gateway/src/caller_connection.ts
+++ b/packages/gateway/src/caller_connection.ts
@@ -2,7 +2,7 @@
 import type {Mailbox} from '@kelpstep/runtime';
 import type {CallerRequest, StatementAnswer} from '@kelpstep/statements';
 
-/** Messages that a caller's connection delivers. */
+/** Messages to a session: from its caller's connection or from the gateway. */
 export type CallerMessage =
   | {readonly kind: 'request'; readonly request: CallerRequest}
   /** The caller disconnected or violated the protocol. */
@@ -10,7 +10,7 @@
   /** The gateway is stopping: an idle session ends. */
   | {readonly kind: 'stop'};
 
-/** A caller's connection whose session has started. */
+/** A caller's connection after the start-up of its session. */
 export interface CallerConnection {
   /** Database name that the caller requested. */
   readonly database: string;
@@ -19,6 +19,6 @@
   readonly messages: Mailbox<CallerMessage>;
   isClosed(): boolean;
   answer(answer: StatementAnswer): void;
-  /** Closes the connection after the answers that were sent before. */
+  /** Closes the connection after all earlier answers have been sent. */
   close(): void;
 }
--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -27,11 +27,11 @@
   readonly database: string;
   readonly freshness: Freshness;
   readonly group: string;
-  /** Timeout of one statement. */
+  /** Timeout of one statement, counted from its arrival. */
   readonly timeout: Milliseconds;
   /** Latency objective of a whole operation. */
   readonly targetLatency: Milliseconds;
-  /** 0 is the highest. */
+  /** Priority of the statements; 0 is the highest. */
   readonly priority: number;
   readonly maximumStaleness: Milliseconds;
   /** True if callers need no key. */
@@ -40,24 +40,24 @@
 
 /** Routes, groups and accounts of one configuration version. */
 export interface GatewayConfiguration {
-  /** Increases with each change. */
+  /** Version of the configuration; increases with each change. */
   readonly version: number;
   readonly routes: readonly CallerRoute[];
   readonly groups: readonly GroupSettings[];
   /** Undefined if callers are served without a key. */
   readonly accounts: readonly ClientAccount[] | undefined;
-  /** A transaction that is idle for longer is rolled back. */
+  /** Time after which an idle transaction is rolled back. */
   readonly transactionIdle: Milliseconds;
 }
 
-/** The database that a session requests and the key that it presents. */
+/** The database that a session requests, and the digest of its key. */
 export interface SessionIdentity {
   readonly database: string;
   /** Digest of the key that the caller presented. */
   readonly keyDigest: string;
 }
 
-/** Whether a session may be served now, and for which account. */
+/** Result of admission: the route and account of a session, or a refusal. */
 export type SessionAdmission =
   | {
       readonly kind: 'admitted';
@@ -67,7 +67,7 @@
     }
   | {readonly kind: 'refused'; readonly answer: StatementAnswer};
 
-/** The newest accepted configuration. */
+/** The newest accepted configuration, and decisions based on it. */
 export interface ActiveConfiguration {
   current(): GatewayConfiguration | undefined;
   group(name: string): GroupSettings | undefined;
@@ -96,11 +96,11 @@
 const KEYS_OUT_OF_DATE = 'the key may have been taken away';
 const NO_CONFIGURATION = 'no configuration yet';
 
-/** Dependencies of the active configuration. */
+/** Tells how far the known configuration can be relied on. */
 export interface ActiveConfigurationOptions {
   /** False if the known configuration may be older than its staleness bound. */
   isCurrent(): boolean;
-  /** False if keys may have been revoked unnoticed: none is accepted then. */
+  /** False if keys may have been revoked unnoticed; no key is accepted then. */
   mayTrustKeys(): boolean;
 }
 
@@ -112,7 +112,10 @@
   return refuse(refusalAnswer(reason, DEFAULT_RETRY_AFTER_MS));
 }
 
-/** Creates the state before the first configuration. */
+/**
+ * Creates the state before the first configuration, which refuses all sessions
+ * with a time to retry.
+ */
 export function createActiveConfiguration(
   options: ActiveConfigurationOptions,
 ): ActiveConfiguration {
--- a/packages/gateway/src/create_gateway.ts
+++ b/packages/gateway/src/create_gateway.ts
@@ -31,7 +31,7 @@
 import type {GatewayEvents} from './gateway_events';
 import {serveSession} from './serve_session';
 
-/** Dependencies of a gateway. */
+/** What a gateway needs from the proxy that it runs in. */
 export interface GatewayOptions {
   readonly runtime: Runtime;
   readonly open: OpenTargetConnection;
@@ -47,11 +47,11 @@
   isPrimaryChanging(group: string): boolean;
   /** False if the known configuration may be older than its staleness bound. */
   isConfigurationCurrent(): boolean;
-  /** False if keys may have been revoked unnoticed: none is accepted then. */
+  /** False if keys may have been revoked unnoticed; no key is accepted then. */
   mayTrustKeys(): boolean;
   /** Monitors the primary of a new group until the group is released. */
   monitorPrimary(group: TargetGroup): PrimaryMonitor;
-  /** Wraps the local dispatcher to also run statements through peers. */
+  /** Creates the relay, which runs statements locally or through peers. */
   createRelay(local: LocalDispatcher, isStopping: () => boolean): GatewayRelay;
 }
 
@@ -63,33 +63,45 @@
   close(): void;
 }
 
-/** Monitors a group's primary. */
+/** Monitor of a group's primary; stopped when the group is released. */
 export interface PrimaryMonitor {
   stop(): void;
 }
 
-/** Serves the sessions of callers at the registered targets. */
+/** Serves the sessions of callers by running their statements on targets. */
 export interface Gateway {
   readonly configuration: ActiveConfiguration;
   /** Applies a configuration; false unless it is newer than the current one. */
   configure(configuration: GatewayConfiguration): boolean;
-  /** Replaces the list of targets. */
+  /** Replaces the list of targets of all groups. */
   register(registrations: readonly TargetRegistration[]): void;
-  /** Undefined while this proxy keeps no connections to the group's targets. */
+  /**
+   * The group's targets; undefined while this proxy keeps no connections to
+   * them.
+   */
   group(name: string): TargetGroup | undefined;
-  /** Serves a session until it ends. */
+  /** Starts to serve a session; returns at once. */
   serve(caller: CallerConnection): void;
-  /** Ends idle sessions, waits for the others to finish, then closes all. */
+  /**
+   * Serves as before for `serveFor`, then ends each session when it is idle,
+   * and closes the remaining ones after at most `endFor`.
+   */
   drain(times: DrainTimes): Task<void>;
   sessions(): number;
   close(): void;
 }
 
-/** Phases of a drain. */
+/** Durations of the phases of a drain. */
 export interface DrainTimes {
-  /** First phase: serves as before, as the balancer still sends sessions. */
+  /**
+   * Duration of the first phase, in which all sessions are served as before
+   * because the balancer still sends new ones.
+   */
   readonly serveFor: Milliseconds;
-  /** Longest second phase, in which sessions end as they become idle. */
+  /**
+   * Longest duration of the second phase, in which sessions end as they become
+   * idle.
+   */
   readonly endFor: Milliseconds;
 }
 
@@ -112,7 +124,10 @@
   lastNeededAt: Milliseconds;
 }
 
-/** Grouped once for all groups: the list may contain thousands of targets. */
+/**
+ * Groups the list once for all groups, because it may contain thousands of
+ * targets.
+ */
 function groupRegistrations(
   registrations: readonly TargetRegistration[],
 ): Map<string, TargetRegistration[]> {
@@ -177,7 +192,10 @@
     return group;
   }
 
-  /** Keeps a requested group for a while even if this proxy doesn't own it. */
+  /**
+   * Finds a group by name. If it is configured, its connections are kept for
+   * some time even if this proxy doesn't own it.
+   */
   function findGroup(name: string): TargetGroup | undefined {
     const settings = configuration.group(name);
     return settings === undefined
@@ -199,7 +217,10 @@
     }
   }
 
-  /** Adds groups that this proxy owns and releases those no longer needed. */
+  /**
+   * Adds the groups that this proxy owns, and releases groups that are no
+   * longer needed.
+   */
   function refreshOwnedGroups(): void {
     for (const settings of configuration.current()?.groups ?? []) {
       if (options.ownsConnections(settings)) {
--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -91,24 +91,29 @@
   targets(group: string): TargetGroupEvents;
   succession(group: string): SuccessionEvents;
   onConfiguration(version: number): void;
-  /** An entry in the store can't be used. */
+  /** Called for an entry in the store that can't be used. */
   onFinding(place: 'configuration' | 'registration', message: string): void;
-  /** The relay address can't be listened on, so peers can't relay here. */
+  /**
+   * Called if the relay address can't be listened on: peers can't relay here.
+   */
   onListenFailure(message: string): void;
 }
 
-/** Dependencies of a statement proxy. */
+/** What a statement proxy is made of: store, transport, targets and limits. */
 export interface StatementProxyOptions {
   readonly runtime: Runtime;
   readonly self: PresentProxy;
-  /** Relative to other proxies: those with more become distributors sooner. */
+  /**
+   * Capacity relative to other proxies: those with more capacity become
+   * distributors sooner.
+   */
   readonly capacity: number;
   /** Carries tables and statements between proxies. */
   readonly transport: Transport;
   readonly store: TableStore;
   readonly layout: StoreLayout;
   readonly delays: StalenessBounds;
-  /** How far quotas may be exceeded at the start; undefined: not at all. */
+  /** Tolerated excess over quotas at the start; undefined if there is none. */
   readonly quotaTolerance?: QuotaTolerance | undefined;
   readonly open: OpenTargetConnection;
   readonly readStatus: ReadTargetStatus;
@@ -119,12 +124,12 @@
   readonly seeds: readonly string[];
 }
 
-/** A running proxy of statement sessions. */
+/** A proxy whose parts are running. */
 export interface StatementProxy {
   readonly gateway: Gateway;
   /** Ages of the local copies of the store's tables. */
   tableAges(): readonly TableAge[];
-  /** Share of all quotas that this proxy counts against through leases. */
+  /** Sum of the shares of all quotas leased to this proxy now, from 0 to 1. */
   quotaPart(): number;
   /** Stops serving, and closes the connections of other proxies. */
   close(): void;
@@ -137,12 +142,15 @@
 const SUCCESSION_ROW_TIMEOUT_MS: Milliseconds = 2500;
 
 /**
- * How long a primary counts as reached after its last answered status probe:
- * the interval between two probes and a round trip between regions.
+ * How long a primary counts as reached after its last answered request was
+ * sent: the interval between two probes and a round trip between regions.
  */
 const PRIMARY_ANSWER_WINDOW_MS: Milliseconds = 450;
 
-/** Targets report the primary; the rows only make it known sooner. */
+/**
+ * Staleness bound of the succession table. It may be long: targets report the
+ * primary, and the rows only make it known sooner.
+ */
 const SUCCESSION_STALENESS_BOUND_MS: Milliseconds = 12_000;
 
 const NO_PEERS: ReadonlySet<string> = new Set();
@@ -150,7 +158,7 @@
 /** Result of requests to other proxies while there is no relay. */
 const NO_PEERS_FAILURE = createFailure('OUTCOME_UNKNOWN', {outcome: 'not_run'});
 
-/** Primary check while there is no relay. */
+/** Primary check while there is no relay: no peer can be asked. */
 function* reachedByNoPeer(): Task<boolean> {
   return false;
 }
@@ -159,7 +167,7 @@
   readonly observedAt: Milliseconds;
 }
 
-/** Creates a proxy; its parts run until the runtime is shut down. */
+/** Creates a proxy, whose parts run until the runtime is shut down. */
 export function createStatementProxy(
   options: StatementProxyOptions,
 ): StatementProxy {
@@ -218,7 +226,10 @@
     });
   }
 
-  /** A proxy without a relay address doesn't share quotas with others. */
+  /**
+   * Number of proxies that share all quotas: 1 for a proxy without a relay
+   * address, which shares them with no other.
+   */
   function fleetSize(): number | undefined {
     return self.relayAddress === '' ? 1 : feed.fleetSize();
   }
--- a/packages/gateway/src/dispatch.ts
+++ b/packages/gateway/src/dispatch.ts
@@ -39,7 +39,7 @@
   createTargetSelector,
 } from './select_target';
 
-/** Dependencies of a local dispatcher. */
+/** What a local dispatcher needs: groups of targets and their state. */
 export interface DispatcherOptions {
   readonly runtime: Runtime;
   group(name: string): TargetGroup | undefined;
@@ -50,9 +50,9 @@
 /** Runs statements over this proxy's own connections to targets. */
 export interface LocalDispatcher extends Dispatcher {
   /**
-   * Like `dispatch`, but undefined if the statement has certainly not run and a
-   * peer may have a target for it. `mayTryPeers` tells whether a peer may be
-   * tried.
+   * Runs a statement like `dispatch`, but returns undefined if it has certainly
+   * not run and a peer may have a target for it. `mayTryPeers` tells whether a
+   * peer may be tried.
    */
   tryDispatch(
     request: DispatchRequest,
@@ -66,22 +66,22 @@
 
 /** Share of a statement's timeout for which it may wait for a target. */
 const MAXIMUM_WAIT_RATIO = 0.85;
-/** Limit of the attempts that are sent for one statement. */
+/** Maximum number of attempts that are sent for one statement. */
 const MAXIMUM_ATTEMPTS = 8;
 /** Backoff after a target had no capacity. */
 const RETRY_BACKOFF_MS: Milliseconds = 15;
 /** Backoff after no connection to a target could be opened. */
 const RECONNECT_BACKOFF_MS: Milliseconds = 40;
 /**
- * If a read is unanswered for this time, the answer is lost or the target is
- * slow, and another target is tried as well. Below the tightest latency
- * objective of callers, above the time that a target's own queue adds under
- * load.
+ * Minimum hedge delay. If a read is unanswered for this time, its answer is
+ * lost or the target is slow, and a second attempt is made. The delay is below
+ * the tightest latency objective of callers and above the time that a target's
+ * own queue adds under load.
  */
 const MINIMUM_HEDGE_DELAY_MS: Milliseconds = 280;
 /** Hedge delay of slow statements, in multiples of their expected time. */
 const HEDGE_DELAY_FACTOR = 4;
-/** Errors after which the same statement may be tried at another target. */
+/** Errors after which the same statement may be tried again. */
 const RETRYABLE = new Set<StatementErrorName>([
   'busy',
   'lagging',
@@ -99,7 +99,7 @@
   readonly triedTargets: Map<string, Milliseconds>;
 }
 
-/** Creates a local dispatcher. */
+/** Creates a dispatcher that uses only this proxy's own connections. */
 export function createDispatcher(options: DispatcherOptions): LocalDispatcher {
   const {runtime, isPrimaryChanging} = options;
   const {timer} = runtime;
@@ -147,7 +147,10 @@
         }));
   }
 
-  /** Runs a statement; an unanswered read gets a second attempt. */
+  /**
+   * Runs a statement. A read that stays unanswered gets a second attempt if the
+   * retry budget allows it.
+   */
   function* runAttempts(
     search: TargetSearch,
     selected: SelectedTarget,
@@ -247,7 +250,9 @@
     return refuse(progress, progress.reason);
   }
 
-  /** Waits for the list of targets, which may be missing after the start. */
+  /**
+   * Finds the group; waits while it is unknown, as it may be after the start.
+   */
   function* findGroup(
     name: string,
     until: Milliseconds,
@@ -268,7 +273,10 @@
     return reason === 'lagging' ? 0 : RETRY_BACKOFF_MS;
   }
 
-  /** The result of an attempt; undefined to try again. */
+  /**
+   * The result after an attempt; undefined if the statement is to be tried
+   * again.
+   */
   function handleOutcome(
     group: TargetGroup,
     request: DispatchRequest,
@@ -344,7 +352,7 @@
 
   function* dispatch(request: DispatchRequest): Task<DispatchResult> {
     const result = yield* tryDispatch(request, () => false);
-    // There always is a result if peers may not be tried.
+    // The result is always defined if peers may not be tried.
     return result as DispatchResult;
   }
 
--- a/packages/gateway/src/dispatch_types.ts
+++ b/packages/gateway/src/dispatch_types.ts
@@ -25,14 +25,14 @@
   readonly arrivedAt: Milliseconds;
   /** Log position of the session's last commit. */
   readonly lastCommit: LogPosition | undefined;
-  /** True if it may run only at the primary. */
+  /** True if it may run only on the primary. */
   readonly needsPrimary: boolean;
   /** True if it writes; its outcome is in doubt if the answer is lost. */
   readonly isWrite: boolean;
   isAbandoned(): boolean;
 }
 
-/** Outcome of a dispatched request. */
+/** Answer to a dispatched request, and how it was obtained. */
 export interface DispatchResult {
   readonly answer: StatementAnswer;
   readonly target: string;
@@ -44,10 +44,10 @@
   readonly pinned: PinnedConnection | undefined;
 }
 
-/** Retry delay in refusals without a better estimate. */
+/** Retry delay of refusals without a better estimate. */
 export const DEFAULT_RETRY_AFTER_MS: Milliseconds = 300;
 
-/** Answers a statement that has not run with the reason and a time to retry. */
+/** Answers a statement that has not run with the reason and a retry delay. */
 export function refusalAnswer(
   reason: string,
   retryAfter: Milliseconds,
@@ -56,7 +56,7 @@
   return errorAnswer('busy', 'idle', text);
 }
 
-/** Runs statements at targets that are allowed to run them. */
+/** Runs statements on targets that are allowed to run them. */
 export interface Dispatcher {
   dispatch(request: DispatchRequest): Task<DispatchResult>;
 }
--- a/packages/gateway/src/gateway_events.ts
+++ b/packages/gateway/src/gateway_events.ts
@@ -2,7 +2,7 @@
 import type {Milliseconds} from '@kelpstep/runtime';
 import type {StatementErrorName} from '@kelpstep/statements';
 
-/** Outcome of a request. */
+/** Outcome of one request, and what led to it. */
 export interface RequestEnd {
   readonly id: string;
   readonly group: string;
@@ -24,7 +24,7 @@
   readonly reason: string;
 }
 
-/** Receives a gateway's events. */
+/** Receives the outcomes of requests and the changes of sessions. */
 export interface GatewayEvents {
   onRequestEnd(end: RequestEnd): void;
   onSession(event: 'opened' | 'refused' | 'closed', database: string): void;
--- a/packages/gateway/src/hedged_attempt.ts
+++ b/packages/gateway/src/hedged_attempt.ts
@@ -1,7 +1,7 @@
 /**
  * Hedges an unanswered attempt with a second one: the answer of a statement
- * that has run may get lost, which would otherwise show only at the statement's
- * timeout. Only for statements that may run twice.
+ * that has run may get lost, which would otherwise be detected only at the
+ * statement's timeout. Only statements that may run twice may be hedged.
  */
 import {
   type Future,
@@ -20,15 +20,19 @@
  */
 export type Attempt = Future<PinnedStart>;
 
-/** Parameters of a hedged attempt. */
 export interface HedgedAttemptOptions {
   readonly timer: TimerService;
   readonly first: Attempt;
-  /** Monotonic time of sending the first; undefined while it is queued. */
+  /**
+   * Monotonic time at which the first attempt was sent; undefined while it is
+   * queued.
+   */
   sentAt(): Milliseconds | undefined;
-  /** Time from sending the first until the second starts if unanswered. */
+  /** Time after sending the first attempt at which the second one starts. */
   readonly hedgeDelay: Milliseconds;
-  /** Starts the second; undefined if there is no target or no budget for it. */
+  /**
+   * Starts the second attempt; undefined if there is no target or no budget.
+   */
   start(): Attempt | undefined;
 }
 
@@ -37,18 +41,21 @@
 
 /** Limits extra attempts to a small share of all, since they add load. */
 export interface RetryBudget {
-  /** Records a first attempt, which adds a share of an extra one. */
+  /** Records a first attempt, which adds `RETRY_RATIO` of an extra attempt. */
   deposit(): void;
   /** Takes one extra attempt from the budget; false if none is left. */
   tryWithdraw(): boolean;
 }
 
-/** Extra attempts per first attempt. */
+/** Extra attempts allowed per first attempt. */
 const RETRY_RATIO = 0.1;
-/** Limits the burst of extra attempts that may follow a quiet period. */
+/**
+ * Maximum saved budget, which limits the burst of extra attempts after a quiet
+ * period.
+ */
 const MAXIMUM_SAVED_RETRIES = 20;
 
-/** Creates a full budget. */
+/** Creates a budget that holds `MAXIMUM_SAVED_RETRIES` extra attempts. */
 export function createRetryBudget(): RetryBudget {
   let saved = MAXIMUM_SAVED_RETRIES;
   return {
@@ -69,7 +76,7 @@
   return outcome.kind === 'answered' && outcome.answer.error === undefined;
 }
 
-/** The first success; if both fail, the result that came first. */
+/** Waits for the first success; if both fail, returns the earlier result. */
 function awaitFirstSuccess(first: Attempt, second: Attempt): Attempt {
   const result = createDeferred<PinnedStart>();
   const ended: PinnedStart[] = [];
@@ -91,8 +98,8 @@
 }
 
 /**
- * Waits for the first attempt, and for a second one if the first stays
- * unanswered for the hedge delay.
+ * Waits for the first attempt. If it stays unanswered for the hedge delay,
+ * starts a second one and waits for the first success of both.
  */
 export function* awaitHedged(options: HedgedAttemptOptions): Task<PinnedStart> {
   const {timer, first, hedgeDelay} = options;
--- a/packages/gateway/src/primary_outage.ts
+++ b/packages/gateway/src/primary_outage.ts
@@ -8,7 +8,7 @@
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Whether a group has a primary, and if not, why. */
+/** Whether a group has a usable primary, and if not, why. */
 export type PrimaryState = 'present' | 'leaving' | 'lost';
 
 /** Estimates how long an outage lasts from the durations of earlier ones. */
@@ -16,35 +16,41 @@
   /** Records whether the group has a primary that accepts statements. */
   recordState(group: string, state: PrimaryState, now: Milliseconds): void;
   /**
-   * Time until the group's primary is expected back; 0 if none was lost. A
+   * Time until the group's primary is expected back; 0 if it is present. A
    * primary that was never known, as after the start, doesn't count as lost.
    */
   expected(group: string, now: Milliseconds): Milliseconds;
 }
 
 /**
- * Estimates before the end of any outage was observed. A lost primary must
- * first be detected, while a planned change starts at once. Too long an
+ * Estimates of an outage's duration before any outage has ended. A lost primary
+ * must first be detected, while a planned change starts at once. Too long an
  * estimate refuses statements that could have waited.
  */
 const INITIAL_ESTIMATES_MS = {lost: 1000, leaving: 300} as const;
-/** Weight of the newest outage; the platform's promotion time varies little. */
+/**
+ * Weight of the newest outage in the estimate; the platform's promotion time
+ * varies little.
+ */
 const NEWEST_OUTAGE_WEIGHT = 0.5;
 /**
- * A longer outage indicates a network partition or a failure of the platform,
- * not a change of primary.
+ * Longest outage that changes the estimate. A longer one indicates a network
+ * partition or a failure of the platform, not a change of primary.
  */
 const MAXIMUM_FAILOVER_MS: Milliseconds = 3000;
-/** An outage that lasts longer than estimated may end at any time. */
+/**
+ * Lower limit of the remaining time: an outage that lasts longer than estimated
+ * may end at any time.
+ */
 const MINIMUM_ESTIMATE_MS: Milliseconds = 100;
 
 interface PrimaryOutage {
-  /** State when the outage began; a leaving primary is soon seen as lost. */
+  /** State when the outage began: a leaving primary soon counts as lost. */
   readonly cause: Exclude<PrimaryState, 'present'>;
   readonly since: Milliseconds;
 }
 
-/** Creates an estimator that knows no primary. */
+/** Creates an estimator with no known primary and the initial estimates. */
 export function createPrimaryOutageEstimator(): PrimaryOutageEstimator {
   const hadPrimary = new Set<string>();
   const outages = new Map<string, PrimaryOutage>();
--- a/packages/gateway/src/relay/connection_owners.ts
+++ b/packages/gateway/src/relay/connection_owners.ts
@@ -12,10 +12,11 @@
 import type {PresentProxy} from '@kelpstep/table-feed';
 import {type GroupSettings, mostHolders} from '@kelpstep/targets';
 
-/** Inputs of the selection. */
 export interface ConnectionOwnersOptions {
   readonly self: PresentProxy;
-  /** Running proxies; a new array after each change. */
+  /**
+   * Running proxies, as a new array after each change; undefined while unknown.
+   */
   live(): readonly PresentProxy[] | undefined;
   /**
    * Relay addresses that have been unreachable for some time; a new set after
@@ -25,17 +26,22 @@
   lost(): ReadonlySet<string>;
 }
 
-/** The connection owners of each group. */
+/** Tells which proxies are the connection owners of a group. */
 export interface ConnectionOwners {
-  /** True if this proxy is one; false while the others are unknown. */
+  /**
+   * True if this proxy is a connection owner of the group; false while the
+   * running proxies are unknown.
+   */
   ownsConnections(settings: GroupSettings): boolean;
-  /** Number of connection owners; `Infinity` while unknown. */
+  /** Number of the group's connection owners; `Infinity` while unknown. */
   count(settings: GroupSettings): number;
   /** True once the running proxies are known. */
   areKnown(): boolean;
   /** True if a running proxy has the relay address, or while none is known. */
   isLive(relayAddress: string): boolean;
-  /** Connection owners to relay statements to, without this proxy. */
+  /**
+   * The group's connection owners to relay statements to, without this proxy.
+   */
   otherOwners(settings: GroupSettings): readonly PresentProxy[];
 }
 
@@ -45,7 +51,10 @@
   readonly otherOwners: readonly PresentProxy[];
 }
 
-/** Creates the selection, which is cached for each list of proxies. */
+/**
+ * Creates the selection. Its results are cached until the running proxies or
+ * the unreachable ones change.
+ */
 export function createConnectionOwners(
   options: ConnectionOwnersOptions,
 ): ConnectionOwners {
--- a/packages/gateway/src/relay/create_relay.ts
+++ b/packages/gateway/src/relay/create_relay.ts
@@ -1,4 +1,7 @@
-/** Wires the relay, which runs statements through peers and theirs here. */
+/**
+ * Wires the relay, which runs this proxy's statements through peers and the
+ * peers' statements here.
+ */
 import type {PresentProxy} from '@kelpstep/table-feed';
 import {
   type HandlerTable,
@@ -17,7 +20,6 @@
 import {createRelayServer} from './relay_server';
 import {createRelayingDispatcher} from './relaying_dispatcher';
 
-/** Dependencies of a relay. */
 export interface RelayOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -31,13 +33,13 @@
   isStopping(): boolean;
   /** Registers further request handlers for other proxies. */
   registerHandlers(handlers: HandlerTable): void;
-  /** The relay address could not be listened on. */
+  /** Called if the relay address can't be listened on. */
   onListenFailure(message: string): void;
 }
 
-/** A running relay. */
+/** A relay that listens for other proxies and can send them requests. */
 export interface Relay extends GatewayRelay {
-  /** Whether another proxy reaches the group's primary. */
+  /** Checks whether another proxy reaches the group's primary. */
   readonly isPrimaryReachedByPeer: PrimaryCheck;
   readonly request: RelayClient['request'];
   readonly isUsable: RelayClient['isUsable'];
--- a/packages/gateway/src/relay/peer_latency.ts
+++ b/packages/gateway/src/relay/peer_latency.ts
@@ -17,27 +17,38 @@
   readonly roundTrip: Milliseconds;
 }
 
-/** Expected latencies by workload and peer. */
+/** Expected latencies by workload and peer, which show slow peers. */
 export interface PeerLatencyTracker {
-  /** Records that a statement is sent; call the result when it is answered. */
+  /**
+   * Records that a statement is sent. The returned function is to be called
+   * when it is answered.
+   */
   begin(peer: MeasuredPeer, now: Milliseconds): (now: Milliseconds) => void;
-  /** True if the peer is expected to take much longer than its workload. */
+  /**
+   * True if the peer is expected to take much longer than the average of its
+   * workload.
+   */
   isSlow(peer: MeasuredPeer, now: Milliseconds): boolean;
 }
 
 /**
- * Weight of a new time in a peer's average: one slow statement, as any peer may
- * have, doesn't make a peer slow.
+ * Weight of a new time in a peer's average. It is low, because one slow
+ * statement, as any peer may have, must not make a peer slow.
  */
 const PEER_WEIGHT = 0.2;
-/** Weight in a workload's average, to which all of its peers contribute. */
+/**
+ * Weight of a new time in a workload's average, to which all of its peers
+ * contribute.
+ */
 const WORKLOAD_WEIGHT = 0.05;
 /**
  * A peer is slow if it is expected to take longer than this multiple of its
  * workload's average plus `SLOW_MARGIN_MS`.
  */
 const SLOW_FACTOR = 2;
-/** Covers the longer round trip if another region is used instead. */
+/**
+ * Margin for the longer round trip if a peer in another region is used instead.
+ */
 const SLOW_MARGIN_MS: Milliseconds = 40;
 /** Average of a workload before its first answer. */
 const INITIAL_AVERAGE_MS: Milliseconds = 20;
@@ -49,7 +60,7 @@
 const HALF_LIFE_MS: Milliseconds = 3000;
 
 interface PeerLatency {
-  /** Average time beyond the network round trip. */
+  /** Average time beyond the network round trip; undefined before an answer. */
   average: Milliseconds | undefined;
   measuredAt: Milliseconds;
   /** Send times of unanswered statements, oldest first. */
@@ -91,7 +102,10 @@
     );
   }
 
-  /** Longest wait of an unanswered statement; detects an unresponsive peer. */
+  /**
+   * Time since the oldest unanswered statement was sent, which detects an
+   * unresponsive peer; 0 if there is none.
+   */
   function longestWait(
     {inFlight}: PeerLatency,
     now: Milliseconds,
--- a/packages/gateway/src/relay/peer_order.ts
+++ b/packages/gateway/src/relay/peer_order.ts
@@ -2,7 +2,6 @@
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 import type {PresentProxy} from '@kelpstep/table-feed';
 
-/** Location of a proxy. */
 export type ProxyLocation = Pick<PresentProxy, 'dataCentre' | 'region'>;
 
 /** Round trips by distance; only their order of magnitude matters. */
@@ -33,7 +32,7 @@
     .map(({peer}) => peer);
 }
 
-/** Shuffles the peers, so that all data centres are represented. */
+/** Shuffles the peers, so that the first ones represent all data centres. */
 export function inRandomOrder(
   random: Random,
   peers: readonly PresentProxy[],
@@ -41,14 +40,13 @@
   return sortBy(peers, () => random.fraction());
 }
 
-/** Inputs of a peer's rank. */
 export interface PeerRank {
   readonly roundTrip: Milliseconds;
   /** True if the peer takes much longer than others. */
   readonly isSlow: boolean;
 }
 
-/** Ranks a slow peer behind all others. */
+/** Added to a slow peer's rank, which places it behind all others. */
 const SLOW_PEER_PENALTY_MS: Milliseconds = 1000;
 
 /**
--- a/packages/gateway/src/relay/peer_reachability.ts
+++ b/packages/gateway/src/relay/peer_reachability.ts
@@ -14,7 +14,6 @@
   waitFor,
 } from '@kelpstep/runtime';
 
-/** Dependencies of the reachability tracker. */
 export interface PeerReachabilityOptions {
   readonly runtime: Runtime;
   /** Sends a heartbeat request to an address; true if it is answered. */
@@ -23,20 +22,28 @@
   isLive(address: string): boolean;
 }
 
-/** Tracks which proxies are reachable. */
+/**
+ * Tracks which proxies are reachable, by the relay addresses of the proxies.
+ */
 export interface PeerReachability {
   /** Records that a connection to the address failed or was lost. */
   recordFailure(address: string): void;
-  /** False from a failure until the address is reached again. */
+  /**
+   * False from a failure until a heartbeat is answered, or until no running
+   * proxy has the address.
+   */
   isUsable(address: string): boolean;
-  /** Addresses unreachable for `LOST_AFTER_MS`; a new set after each change. */
+  /**
+   * Addresses that have been unreachable for `LOST_AFTER_MS` or longer; a new
+   * set after each change.
+   */
   lost(): ReadonlySet<string>;
 }
 
 /**
- * Backoff in milliseconds: short at first because a restarting proxy is back
- * soon, and at most two attempts per second for one that is partitioned or
- * stopped.
+ * Backoff between heartbeats in milliseconds. It is short at first because a
+ * restarting proxy is back soon, and allows about two attempts per second to a
+ * proxy that is partitioned or stopped.
  */
 const RETRY_BACKOFF: RetryPauseBounds = {first: 100, longest: 500};
 /**
--- a/packages/gateway/src/relay/primary_check.ts
+++ b/packages/gateway/src/relay/primary_check.ts
@@ -8,7 +8,6 @@
 import {inRandomOrder} from './peer_order';
 import type {RelayClient} from './relay_client';
 
-/** Dependencies of the check. */
 export interface PrimaryCheckOptions {
   readonly runtime: Runtime;
   readonly client: RelayClient;
@@ -16,17 +15,20 @@
   peers(group: string): readonly PresentProxy[];
 }
 
-/** True if another proxy reaches the group's primary. */
+/**
+ * Settles with true if another proxy reaches the group's primary, and with
+ * false if none is known to reach it.
+ */
 export type PrimaryCheck = (group: string) => Task<boolean>;
 
 /**
- * Limit of peers that receive the request at once. If half of all proxies are
+ * Maximum number of peers that receive the request. If half of all proxies are
  * partitioned from the primary, the probability that all of these are is 1 in
  * 64.
  */
 const MAXIMUM_PEERS = 6;
 
-/** Creates a check that uses the client's connections. */
+/** Creates a check that sends its requests over the client's connections. */
 export function createPrimaryCheck(options: PrimaryCheckOptions): PrimaryCheck {
   const {random} = options.runtime;
   const {client} = options;
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -35,7 +35,7 @@
   relayStatement,
 } from './relay_messages';
 
-/** Outcome of a statement that was sent to another proxy. */
+/** Outcome of an attempt to run a statement through another proxy. */
 export type RelayOutcome =
   | {readonly kind: 'ended'; readonly result: DispatchResult}
   /** The statement has certainly not run. */
@@ -49,7 +49,6 @@
   readonly relayAddress: string;
 }
 
-/** Dependencies of a relay client. */
 export interface RelayClientOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -59,14 +58,20 @@
   isLive(address: string): boolean;
 }
 
-/** Sends statements to other proxies. */
+/**
+ * Sends statements and other requests to other proxies, and tracks which of
+ * them are reachable.
+ */
 export interface RelayClient {
   dispatch(
     relayPeer: RelayPeer,
     request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome>;
-  /** Whether the other proxy reaches the group's primary; false if unknown. */
+  /**
+   * True if the other proxy reaches the group's primary; false if it doesn't or
+   * if this is unknown.
+   */
   reachesPrimary(address: string, group: string): Future<boolean>;
   /** Sends another proxy a request that is not a statement. */
   request<P, R>(
@@ -75,16 +80,26 @@
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
-  /** False from a failure until the proxy answers again. */
+  /**
+   * False from a failure until the proxy answers a heartbeat, or until no
+   * running proxy has the address.
+   */
   isUsable(address: string): boolean;
-  /** Addresses unreachable for some time; a new set after each change. */
+  /**
+   * Addresses that have been unreachable for some time; a new set after each
+   * change.
+   */
   lost(): ReadonlySet<string>;
   close(): void;
 }
 
-/** Some round trips between regions, to connect to another proxy. */
+/**
+ * Timeout for connecting to another proxy: some round trips between regions.
+ */
 const CONNECT_TIMEOUT_MS: Milliseconds = 300;
-/** Added to a statement's timeout for the network delay of the answer. */
+/**
+ * Margin added to a statement's timeout for the network delay of the answer.
+ */
 const ANSWER_MARGIN_MS: Milliseconds = 60;
 /** Interval between checks of whether the caller still waits. */
 const ABANDON_CHECK_INTERVAL_MS: Milliseconds = 100;
@@ -96,7 +111,10 @@
  */
 const HEARTBEAT_TIMEOUT_MS: Milliseconds = 600;
 
-/** A round trip between regions, one more to connect, and a busy peer. */
+/**
+ * Timeout of a primary check: a round trip between regions, one more to
+ * connect, and the delay of a busy peer.
+ */
 const PRIMARY_CHECK_TIMEOUT_MS: Milliseconds = 150;
 
 /** A connection and the number of statements and transactions on it. */
@@ -105,14 +123,15 @@
   count: number;
 }
 
-/** Creates a client without connections. */
+/** Creates a client, which connects to a proxy when it first needs it. */
 export function createRelayClient(options: RelayClientOptions): RelayClient {
   const {runtime, transport, self} = options;
   const {timer} = runtime;
   const links: PeerLinks = createPeerLinks({transport, timer});
   const reachability = createPeerReachability({
     runtime,
-    // A frozen process accepts connections but answers nothing.
+    // A request is sent, because a frozen process accepts connections but
+    // answers nothing.
     sendHeartbeat: address =>
       mapFuture(
         links.request(address, relayPing, {}, CONNECT_TIMEOUT_MS),
@@ -146,7 +165,10 @@
     }
   }
 
-  /** Closes a connection that is unresponsive while it is in use. */
+  /**
+   * Sends heartbeats while the connection is in use, and closes it if nothing
+   * is received after an unanswered heartbeat.
+   */
   function* sendHeartbeats(address: string, usage: PeerUsage): Task<void> {
     const {peer} = usage;
     for (;;) {
@@ -154,7 +176,7 @@
       if (usage.count === 0) {
         continue;
       }
-      // Marks the connection as used, so that it stays open in long
+      // This marks the connection as used, so that it stays open in long
       // transactions.
       void links.connect(address, CONNECT_TIMEOUT_MS);
       const sentAt = timer.now();
@@ -233,7 +255,9 @@
     };
   }
 
-  /** Waits for the answer, and notifies the peer once the caller has left. */
+  /**
+   * Waits for the answer; notifies the peer once if the caller stops waiting.
+   */
   function* awaitReply(
     reply: Future<Result<RelayResult, RequestFailure>>,
     request: DispatchRequest,
@@ -356,7 +380,10 @@
     : Err('closed' as const);
 }
 
-/** Statements that only change the session are never sent to other proxies. */
+/**
+ * Returns the statement as sent to another proxy. Throws for a statement that
+ * only changes the session, because such statements are never relayed.
+ */
 function toRelayedStatement(
   statement: SessionStatement,
 ): RelayedStatement['statement'] {
--- a/packages/gateway/src/relay/relay_messages.ts
+++ b/packages/gateway/src/relay/relay_messages.ts
@@ -27,7 +27,10 @@
 /** Session settings, in the order in which they were set. */
 const valuesSchema = z.array(z.tuple([z.string(), z.string()]));
 
-/** The sender's route applies, since its configuration may be newer. */
+/**
+ * The session's route. The sender's one applies, because its configuration may
+ * be newer.
+ */
 const routeSchema = z.object({
   database: z.string(),
   freshness: z.enum(['primary', 'bounded', 'readYourWrites']),
@@ -68,7 +71,9 @@
   lastCommit: logPositionSchema.optional(),
   needsPrimary: z.boolean(),
   isWrite: z.boolean(),
-  /** False: run only if a target is expected to be available at once. */
+  /**
+   * False if it may run only if a target is expected to be available at once.
+   */
   mayWait: z.boolean(),
 });
 export type RelayedStatement = z.infer<typeof relayedStatementSchema>;
@@ -102,7 +107,7 @@
   statement: statementSchema,
   shape: shapeSchema.optional(),
   values: valuesSchema,
-  /** In milliseconds. */
+  /** Timeout of the statement, in milliseconds. */
   timeout: z.number(),
 });
 export type PinnedStatement = z.infer<typeof pinnedStatementSchema>;
@@ -131,11 +136,14 @@
 /** Heartbeat; an answer shows that the other proxy is responsive. */
 export const relayPing = defineMethod('relay.ping', z.object({}), z.object({}));
 
-/** Notification: the answer isn't awaited, or the transaction has ended. */
+/**
+ * Name of the notification that a statement's answer is no longer awaited, or
+ * that a transaction has ended.
+ */
 export const RELAY_END = 'relay.end';
 export const relayEndSchema = z.object({work: workSchema});
 
-/** Restores the fields with undefined values, which JSON omits. */
+/** Returns the answer with the undefined fields, which JSON omits. */
 export function readAnswer(
   answer: z.infer<typeof answerSchema>,
 ): StatementAnswer {
--- a/packages/gateway/src/relay/relay_server.ts
+++ b/packages/gateway/src/relay/relay_server.ts
@@ -41,7 +41,6 @@
   relayStatement,
 } from './relay_messages';
 
-/** Dependencies of a relay server. */
 export interface RelayServerOptions {
   readonly runtime: Runtime;
   readonly local: LocalDispatcher;
@@ -54,14 +53,14 @@
   registerHandlers(handlers: HandlerTable): void;
 }
 
-/** Runs requests of other proxies. */
+/** Accepts connections of other proxies and runs their statements. */
 export interface RelayServer {
   accept(connection: Connection): void;
   /** Number of other proxies' statements and transactions in progress here. */
   pending(): number;
 }
 
-/** A statement or transaction of another proxy. */
+/** A statement or transaction of another proxy that is in progress here. */
 interface RelayedRequest {
   readonly settings: SessionSettings;
   pinned: PinnedConnection | undefined;
@@ -69,9 +68,9 @@
 }
 
 /**
- * A sender that waits for anything sends several heartbeats in this time. One
- * that is unresponsive for longer counts as stopped, and its transactions are
- * rolled back.
+ * Time after which an unresponsive sender counts as stopped, and its
+ * transactions are rolled back. A sender that has requests in progress sends
+ * several heartbeats in this time.
  */
 const SENDER_TIMEOUT_MS: Milliseconds = 2000;
 const SENDER_CHECK_INTERVAL_MS: Milliseconds = 500;
@@ -218,7 +217,9 @@
     options.registerHandlers(handlers);
     const peer = createRpcPeer({connection, timer, handlers});
     peer.onNotification(RELAY_END, parameters => {
-      // An invalid message is ignored; the sender timeout covers its loss.
+      // An invalid message is ignored: its request ends when the connection is
+      // closed, at the latest by the sender timeout once the sender no longer
+      // uses the connection.
       const parsed = relayEndSchema.safeParse(parameters);
       if (parsed.success) {
         end(parsed.data.work);
@@ -249,7 +250,7 @@
   };
 }
 
-/** Applies the session's current settings; settings are never removed. */
+/** Sets the session's current variables; a session never removes variables. */
 function applyValues(
   {values}: SessionSettings,
   next: ReadonlyArray<readonly [string, string]>,
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -25,7 +25,6 @@
 } from './peer_order';
 import type {RelayClient, RelayOutcome} from './relay_client';
 
-/** Dependencies of a relaying dispatcher. */
 export interface RelayingDispatcherOptions {
   readonly runtime: Runtime;
   readonly local: LocalDispatcher;
@@ -39,15 +38,17 @@
 }
 
 /**
- * How long a peer that had no target is not tried again: each peer gets at most
- * four such requests per second and group.
+ * Time for which a peer that did not run or answer a request is not tried again
+ * for the same workload, except by requests that may wait. A peer without a
+ * target thus gets at most four other requests per second and workload from
+ * this proxy.
  */
 const REFUSAL_BACKOFF_MS: Milliseconds = 250;
 
-/** Fields of a result without a target. */
+/** Default fields of a result for which no target is known. */
 const WITHOUT_TARGET = {target: '', attempts: 0, via: '', pinned: undefined};
 
-/** Creates a dispatcher that extends the local one. */
+/** Creates a dispatcher that runs statements by the local one or by peers. */
 export function createRelayingDispatcher(
   options: RelayingDispatcherOptions,
 ): Dispatcher {
@@ -57,7 +58,10 @@
   const latency = createPeerLatencyTracker();
   const budget = createRetryBudget();
 
-  /** Separates statements that need the primary from others. */
+  /**
+   * Name of the request's workload: statements of a group that need the primary
+   * are separated from its other statements.
+   */
   function workloadOf({route, needsPrimary}: DispatchRequest): string {
     return `${route.group} ${needsPrimary ? 'primary' : 'any'}`;
   }
@@ -112,7 +116,8 @@
     request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome> {
-    // A begin waits for its own connection, which says little about the peer.
+    // A begin isn't measured: it waits for its own connection, which says
+    // little about the peer.
     const isMeasured = request.statement.kind !== 'begin';
     const end = isMeasured
       ? latency.begin(toMeasuredPeer(peer, request), timer.now())
@@ -122,14 +127,18 @@
     return outcome;
   }
 
-  /** After a refusal by an overloaded peer, another one may have capacity. */
+  /**
+   * True if another peer may be tried: the answering peer is overloaded, others
+   * may have capacity, and the retry budget allows an attempt.
+   */
   function mayTryAnother({answer}: DispatchResult): boolean {
     return answer.error?.name === 'busy' && budget.tryWithdraw();
   }
 
   /**
    * The result of the first peer that accepted the request, or the last
-   * refusal; undefined if it has not run and no peer refused it.
+   * refusal. Undefined if no peer gave a result; the request has then not run,
+   * or it is a read whose answer was lost.
    */
   function* tryPeers(
     request: DispatchRequest,
@@ -193,10 +202,10 @@
   }
 
   /**
-   * Tries a connection owner that expects to run the request at once, then one
-   * that may wait, as owners do while there is no primary. Opens local
-   * connections only if no connection owner is usable, since the targets don't
-   * accept enough connections for every proxy.
+   * Tries the connection owners, first only for targets that are available at
+   * once, then allowing each owner to wait for a target, which is needed while
+   * there is no primary. Opens local connections only if no connection owner is
+   * usable, since the targets don't accept enough connections for every proxy.
    */
   function* dispatchThroughPeer(
     request: DispatchRequest,
--- a/packages/gateway/src/select_read_target.ts
+++ b/packages/gateway/src/select_read_target.ts
@@ -4,7 +4,6 @@
 import type {ConnectionUser} from '@kelpstep/statements';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
-/** Inputs of the selection. */
 export interface ReadTargetCriteria {
   readonly group: TargetGroup;
   /** Statistics key of statements that take about the same time. */
@@ -24,15 +23,21 @@
  */
 const EXCLUSION_TIME_MS: Milliseconds = 60;
 /**
- * Added to the primary's expected time for reads that a replica may serve,
- * because they delay the statements that need the primary.
+ * Penalty of the primary for reads that a replica may serve, because such reads
+ * delay the statements that need the primary.
  */
 const PRIMARY_PENALTY_MS: Milliseconds = 10;
 
-/** Added if the target accepts no connection now; it may accept one soon. */
+/**
+ * Penalty of a target that accepts no connection now but may accept one soon.
+ */
 const NO_CONNECTION_PENALTY_MS: Milliseconds = 300;
 
-/** Added for a replica's lag; `Infinity` if its log lacks the position. */
+/**
+ * Penalty for a replica's lag: `Infinity` if its log lacked the position less
+ * than `EXCLUSION_TIME_MS` ago, `EXCLUSION_TIME_MS` if its log is unknown, 0
+ * otherwise.
+ */
 function lagPenalty(
   {group, position, now}: ReadTargetCriteria,
   link: TargetLink,
@@ -71,7 +76,10 @@
   );
 }
 
-/** The target expected to answer first; undefined if none is eligible. */
+/**
+ * Selects the target with the lowest sum of expected time and penalties;
+ * undefined if none is eligible.
+ */
 export function selectReadTarget(
   criteria: ReadTargetCriteria,
 ): TargetLink | undefined {
--- a/packages/gateway/src/select_target.ts
+++ b/packages/gateway/src/select_target.ts
@@ -15,25 +15,24 @@
 } from './primary_outage';
 import {selectReadTarget} from './select_read_target';
 
-/** A target, and the log position that it must have reached. */
+/** A target, and the log position that it must have reached, if any. */
 export interface SelectedTarget {
   readonly link: TargetLink;
   readonly after: LogPosition | undefined;
 }
 
-/** No target is expected in time, but one after `retryAfter`. */
+/** No target is expected in time; one is expected after `retryAfter`. */
 export interface NoTarget {
   readonly retryAfter: Milliseconds;
 }
 
 /**
  * Where a statement may run. `elsewhere`: a peer may have a target for it;
- * undefined: there was none in time.
+ * undefined: no target was available in time.
  */
 export type SelectionResult =
   SelectedTarget | NoTarget | 'elsewhere' | undefined;
 
-/** Parameters of a target selection. */
 export interface TargetSearch {
   readonly group: TargetGroup;
   readonly work: DispatchRequest;
@@ -45,19 +44,21 @@
   mayTryPeers(): boolean;
 }
 
-/** Dependencies of a target selector. */
 export interface TargetSelectorOptions {
   readonly runtime: Runtime;
   /** True while the group's primary is being replaced. */
   isPrimaryChanging(group: string): boolean;
 }
 
-/** Selects targets for statements. */
+/**
+ * Selects targets by the known state of a group, and waits for changes of the
+ * state if no target is suitable.
+ */
 export interface TargetSelector {
   find(search: TargetSearch): Task<SelectionResult>;
   /**
-   * A target for a second attempt; the same one again if the statement needs
-   * the primary, undefined if there is none.
+   * A target for a second attempt; undefined if there is none. It is the same
+   * target again if the statement needs the primary.
    */
   selectAlternative(
     search: TargetSearch,
@@ -81,7 +82,10 @@
  * trips between regions and the time to answer.
  */
 const FRESHNESS_PROOF_TIMEOUT_MS: Milliseconds = 120;
-/** Traffic and status probes keep the proof of freshness younger than this. */
+/**
+ * Maximum age of a proof of freshness with which a read is expected to run at
+ * once. Traffic and status probes keep the proof younger than this.
+ */
 const MAXIMUM_PROOF_AGE_MS: Milliseconds = 1000;
 
 function isPosition(
@@ -98,7 +102,6 @@
   return links.every(link => link?.isShutOut(account) ?? true);
 }
 
-/** Creates a target selector. */
 export function createTargetSelector(
   options: TargetSelectorOptions,
 ): TargetSelector {
@@ -118,8 +121,14 @@
     return isLeaving && primary?.isReached() ? 'leaving' : 'lost';
   }
 
-  /** Set if a lost primary is expected back too late for the statement. */
-  function lateReturn({group, waitUntil}: TargetSearch): NoTarget | undefined {
+  /**
+   * Returns a refusal if a missing primary is expected back only after
+   * `waitUntil`.
+   */
+  function refusalIfPrimaryIsLate({
+    group,
+    waitUntil,
+  }: TargetSearch): NoTarget | undefined {
     const now = timer.now();
     observePrimary(group);
     const retryAfter = outages.expected(group.group, now);
@@ -139,8 +148,9 @@
   }
 
   /**
-   * The log position that the target must have reached. `again`: not known yet,
-   * but there is time left; undefined: there is no time left.
+   * The log position that the target must have reached. `again`: it is not
+   * known yet, but there is time left; undefined: there is no time left. Other
+   * values end the selection.
    */
   function* requiredPosition(
     search: TargetSearch,
@@ -156,7 +166,8 @@
         return 'elsewhere';
       }
       return (
-        lateReturn(search) ?? (timer.now() >= waitUntil ? undefined : 'again')
+        refusalIfPrimaryIsLate(search) ??
+        (timer.now() >= waitUntil ? undefined : 'again')
       );
     }
     const {lastCommit} = request;
@@ -179,7 +190,8 @@
   }
 
   /**
-   * Peers can't help while the primary is replaced: all wait for the same one.
+   * True if a peer may be tried. Peers can't help while the primary is
+   * replaced, because all proxies wait for the same new one.
    */
   function shouldTryPeers({group, mayTryPeers}: TargetSearch): boolean {
     return !options.isPrimaryChanging(group.group) && mayTryPeers();
@@ -197,7 +209,7 @@
         if (shouldTryPeers(search)) {
           return 'elsewhere';
         }
-        const late = lateReturn(search);
+        const late = refusalIfPrimaryIsLate(search);
         if (late !== undefined) {
           return late;
         }
--- a/packages/gateway/src/serve_session.ts
+++ b/packages/gateway/src/serve_session.ts
@@ -1,4 +1,4 @@
-/** Serves one caller's session: settings, transaction, answers in order. */
+/** Serves one caller's session and answers its requests in order. */
 import type {Quota} from '@kelpstep/accounts';
 import type {LogPosition} from '@kelpstep/protocol';
 import {
@@ -45,7 +45,6 @@
   stateAfterFailure,
 } from './transaction_failure';
 
-/** Dependencies of a session. */
 export interface SessionOptions {
   readonly runtime: Runtime;
   readonly caller: CallerConnection;
@@ -67,7 +66,9 @@
   hasWritten: boolean;
 }
 
-/** A statement to forward, with the shape of the prepared one it executes. */
+/**
+ * A statement to forward, and the prepared statement that it executes, if any.
+ */
 interface ResolvedStatement {
   readonly statement: SessionStatement;
   readonly shape: PreparedShape | undefined;
@@ -101,7 +102,7 @@
 
 const OVER_QUOTA = 'over quota';
 
-/** Serves a session to its end. */
+/** Serves a session until its caller or the gateway ends it. */
 export function* serveSession(options: SessionOptions): Task<void> {
   const {runtime, caller, configuration, dispatcher, quota, events} = options;
   const {timer} = runtime;
@@ -294,7 +295,7 @@
     return [failCurrent(current, statement, reason), {...details, reason}];
   }
 
-  /** Called when the target's answer has ended the transaction. */
+  /** Ends the transaction and records the position if it committed writes. */
   function recordEnd(
     current: Transaction,
     statement: SessionStatement,
@@ -322,7 +323,7 @@
     return transition.answer;
   }
 
-  /** True if the caller's key still belongs to the transaction's account. */
+  /** True without an account, or if the key still belongs to this account. */
   function mayContinue({account}: Transaction): boolean {
     return (
       account === undefined ||
@@ -375,7 +376,9 @@
     return yield* serveOutsideTransaction(request, statement);
   }
 
-  /** Sends the answer and returns it, as an invalid key ends the session. */
+  /**
+   * Sends the answer and returns it, because an invalid key ends the session.
+   */
   function* handle(request: CallerRequest): Task<StatementAnswer> {
     const startedAt = timer.now();
     const [answer, details] = yield* serve(request);
@@ -397,7 +400,8 @@
       }
       const message = yield* nextMessage();
       if (message === undefined) {
-        // Idle too long inside a transaction: the next request gets the error.
+        // The transaction was idle for too long; the next request gets the
+        // error.
         endTransaction();
         state = 'failed';
       } else if (message.kind === 'closed') {
--- a/packages/gateway/src/transaction_failure.ts
+++ b/packages/gateway/src/transaction_failure.ts
@@ -58,7 +58,10 @@
   );
 }
 
-/** Answers a statement inside a transaction that has already failed. */
+/**
+ * Answers a statement in a transaction that has already failed. A commit or
+ * rollback ends the transaction; all other statements are refused.
+ */
 export function answerInFailedTransaction(
   statement: SessionStatement,
 ): SessionTransition {
--- a/packages/session/index.ts
+++ b/packages/session/index.ts
@@ -1,3 +1,3 @@
-/** Sessions and session tokens. */
+/** Public interface of the package: sessions and their tokens. */
 export * from './src/session';
 export * from './src/token_codec';
--- a/packages/session/src/session.ts
+++ b/packages/session/src/session.ts
@@ -5,10 +5,12 @@
   compareLogPositions,
 } from '@kelpstep/protocol';
 
-/** Log positions by group. Immutable; functions return new sessions. */
+/**
+ * Log positions by group. Sessions are immutable; functions return new ones.
+ */
 export type Session = ReadonlyMap<string, LogPosition>;
 
-/** A session that depends on no position. */
+/** The session that depends on no position of any group. */
 export const EMPTY_SESSION: Session = new Map<string, LogPosition>();
 
 /** The position that a session depends on; the empty log's end by default. */
@@ -16,7 +18,10 @@
   return session.get(group) ?? EMPTY_LOG_END;
 }
 
-/** Adds a position seen in a group; the higher position is kept. */
+/**
+ * Adds a position observed in a group, unless the session already has the same
+ * or a higher one.
+ */
 export function withPosition(
   session: Session,
   group: string,
--- a/packages/statements/__tests__/session_settings.spec.ts
+++ b/packages/statements/__tests__/session_settings.spec.ts
@@ -35,7 +35,7 @@
   {maxLength: 40},
 );
 
-/** Applies requests to a target's view of a connection. */
+/** Applies requests to the settings that a target keeps for a connection. */
 function applyAtTarget(
   target: SessionSettings,
   requests: readonly TargetRequest[],
--- a/packages/statements/src/answer.ts
+++ b/packages/statements/src/answer.ts
@@ -26,7 +26,7 @@
   inDoubt: {notRun: false, meaning: 'It may have run: its answer is lost.'},
 } as const satisfies Record<string, ErrorMeaning>;
 
-/** Name of an error of statement sessions. */
+/** One of the names in `STATEMENT_ERRORS`. */
 export type StatementErrorName = keyof typeof STATEMENT_ERRORS;
 
 /** An error with a text for users. */
@@ -47,11 +47,13 @@
   readonly receipt: string;
   readonly error: StatementError | undefined;
   readonly state: TransactionState;
-  /** End of the target's applied log. */
+  /**
+   * End of the target's applied log; undefined in answers without a position.
+   */
   readonly position: LogPosition | undefined;
 }
 
-/** An empty answer by the proxy itself. */
+/** An answer by the proxy itself, without rows, receipt, error or position. */
 export function localAnswer(state: TransactionState): StatementAnswer {
   return {rows: [], receipt: '', error: undefined, state, position: undefined};
 }
--- a/packages/statements/src/session_settings.ts
+++ b/packages/statements/src/session_settings.ts
@@ -9,21 +9,28 @@
 /** Settings of a session, or settings applied to a connection. */
 export interface SessionSettings {
   readonly values: Map<string, string>;
-  /** Prepared statements by name. */
+  /**
+   * Prepared statements: by the session's names for them in a session, by
+   * `sharedName` on a connection.
+   */
   readonly prepared: Map<string, PreparedShape>;
 }
 
-/** The statement behind a prepared name. */
+/**
+ * What a prepared name stands for: the statement's shape, a string that is
+ * forwarded unchanged, and whether it reads or writes.
+ */
 export type PreparedShape = Pick<PrepareStatement, 'access' | 'shape'>;
 
-/** Creates empty settings. */
+/** Creates settings without variables and prepared statements. */
 export function createSessionSettings(): SessionSettings {
   return {values: new Map(), prepared: new Map()};
 }
 
 /**
- * Name under which a shape is prepared on shared connections. It depends on the
- * shape only, so sessions share it whatever name each of them uses.
+ * Name under which a statement is prepared on shared connections. It depends
+ * only on the access and the shape, so sessions share it whatever name each of
+ * them uses.
  */
 export function sharedName({access, shape}: PreparedShape): string {
   const prefix = access === 'read' ? 'r' : 'w';
@@ -58,7 +65,11 @@
   return true;
 }
 
-/** Cost of applying the session's settings to a connection; lower is better. */
+/**
+ * Estimated cost of applying the session's variables to a connection; lower is
+ * better. It is the number of variables to set, increased by a reset and all
+ * variables if the connection has variables that the session has not set.
+ */
 export function countDifferences(
   applied: SessionSettings,
   session: SessionSettings,
@@ -72,20 +83,29 @@
   return differences;
 }
 
-/** Prepared statements per connection; it is reset beyond this number. */
+/**
+ * Maximum number of prepared statements of a connection. A connection with more
+ * is reset before its next statement outside a transaction.
+ */
 const MAXIMUM_PREPARED_COUNT = 200;
 
-/** Options of a plan for applying a session's settings to a connection. */
+/** A connection's settings, the session's settings, and the next statement. */
 export interface DifferenceOptions {
   readonly applied: SessionSettings;
   readonly session: SessionSettings;
-  /** Shape of the next statement, if it is a prepared one. */
+  /** The prepared statement that the next statement executes, if any. */
   readonly shape: PreparedShape | undefined;
-  /** Transactions only add values, so no reset is needed inside one. */
+  /**
+   * True inside a transaction, in which the connection isn't reset: the
+   * transaction's session can only add settings to it.
+   */
   readonly isInTransaction: boolean;
 }
 
-/** Plans the requests that apply the session's settings to a connection. */
+/**
+ * Plans the requests that apply the session's variables and the needed prepared
+ * statement to a connection, in the order in which they must be sent.
+ */
 export function planDifference(options: DifferenceOptions): TargetRequest[] {
   const {applied, session, shape, isInTransaction} = options;
   const requests: TargetRequest[] = [];
@@ -110,7 +130,7 @@
   return requests;
 }
 
-/** Records the settings that these requests apply to a connection. */
+/** Updates `applied`, the settings of a connection, by requests sent on it. */
 export function noteApplied(
   applied: SessionSettings,
   requests: readonly TargetRequest[],
--- a/packages/statements/src/session_statement.ts
+++ b/packages/statements/src/session_statement.ts
@@ -9,32 +9,35 @@
   readonly readOnly: boolean;
 }
 
-/** Ends a transaction. */
+/** Commits or rolls back the transaction. */
 export interface EndStatement {
   readonly kind: 'commit' | 'rollback';
 }
 
-/** Reads an item. */
+/** Reads the data of an item. */
 export interface ReadStatement {
   readonly kind: 'read';
   readonly item: string;
 }
 
-/** Writes an item. */
+/** Writes `data` to an item. */
 export interface WriteStatement {
   readonly kind: 'write';
   readonly item: string;
   readonly data: string;
 }
 
-/** Sets a session variable. */
+/** Sets a session variable, which applies to the session's later statements. */
 export interface SetStatement {
   readonly kind: 'set';
   readonly name: string;
   readonly value: string;
 }
 
-/** Prepares a statement's shape under a name of the session. */
+/**
+ * Prepares a statement under a name of the session. `shape` is passed to
+ * targets unchanged.
+ */
 export interface PrepareStatement {
   readonly kind: 'prepare';
   readonly name: string;
@@ -49,7 +52,7 @@
   readonly parameters: string;
 }
 
-/** Removes a prepared statement. */
+/** Removes a prepared statement from the session. */
 export interface DeallocateStatement {
   readonly kind: 'deallocate';
   readonly name: string;
--- a/packages/statements/src/target_connection.ts
+++ b/packages/statements/src/target_connection.ts
@@ -6,28 +6,33 @@
 import type {StatementAnswer} from './answer';
 import type {SessionStatement} from './session_statement';
 
-/** Only clears the settings of the connection. */
+/**
+ * Clears the variables and prepared statements of the connection. It has no
+ * other effect, so it also serves to probe the end of the applied log.
+ */
 export interface ResetCommand {
   readonly kind: 'reset';
 }
 
-/** Requests the status of the target. */
+/** Requests a `TargetStatus`. */
 export interface StatusCommand {
   readonly kind: 'status';
 }
 
-/** Stops a replica from receiving, in a term above its newest one. */
+/**
+ * Stops a replica from receiving log entries if `term` is above the replica's.
+ */
 export interface PauseCommand {
   readonly kind: 'pause';
   readonly term: number;
 }
 
-/** Resumes receiving on a paused replica. */
+/** Lets a paused replica receive log entries again. */
 export interface ResumeCommand {
   readonly kind: 'resume';
 }
 
-/** Demotes a primary of a lower term to a replica. */
+/** Demotes a primary to a replica if `term` is above the primary's. */
 export interface DemoteCommand {
   readonly kind: 'demote';
   readonly term: number;
@@ -37,9 +42,12 @@
 export type TargetOrder =
   ResetCommand | StatusCommand | PauseCommand | ResumeCommand | DemoteCommand;
 
-/** One request to a target. */
+/** A statement or a command, as it is sent to a target. */
 export interface TargetRequest {
-  /** The caller's id; undefined for commands of the proxy itself. */
+  /**
+   * The caller's id of the statement; undefined for begin statements, settings
+   * and commands of the proxy itself.
+   */
   readonly id?: string;
   readonly body: SessionStatement | TargetOrder;
   /** The target refuses the request unless its log includes this position. */
@@ -99,11 +107,11 @@
   firstRequests?: readonly TargetRequest[],
 ) => Future<Result<OpenedConnection, OpenFailure>>;
 
-/** A new connection, with the log position reported at its start. */
+/** A new connection, with the log position reported when it was opened. */
 export interface OpenedConnection {
   readonly connection: TargetConnection;
   readonly position: LogPosition | undefined;
-  /** Answers to the first requests. */
+  /** Answers to `firstRequests`, in the same order. */
   readonly firstAnswers: readonly StatementAnswer[];
 }
 
--- a/packages/targets/index.ts
+++ b/packages/targets/index.ts
@@ -1,4 +1,7 @@
-/** Targets of statement sessions: connections, admission and log positions. */
+/**
+ * Public interface of the package: groups of targets, their connections, the
+ * admission of statements and log positions.
+ */
 export * from './src/change_signal';
 export * from './src/connection_shares';
 export * from './src/group_positions';
--- a/packages/targets/src/change_signal.ts
+++ b/packages/targets/src/change_signal.ts
@@ -1,7 +1,7 @@
 /** Wakes waiting tasks when the state that they wait for has changed. */
 import {type Future, createDeferred} from '@kelpstep/runtime';
 
-/** A signal that can be given any number of times. */
+/** Signal on which tasks wait for a change; it can be given repeatedly. */
 export interface ChangeSignal {
   /** Settles at the next change. */
   next(): Future<undefined>;
@@ -9,7 +9,7 @@
   give(): void;
 }
 
-/** Creates a signal without waiting tasks. */
+/** Creates a signal for which no task waits. */
 export function createChangeSignal(): ChangeSignal {
   let current = createDeferred<undefined>();
   return {
--- a/packages/targets/src/connection_shares.ts
+++ b/packages/targets/src/connection_shares.ts
@@ -11,21 +11,25 @@
  */
 const USABLE_CONNECTION_RATIO = 0.64;
 /**
- * One control connection and two connections for statements. Fewer owners with
- * more connections each need fewer control connections. This leaves room for
- * starting proxies while the target still keeps connections of failed ones.
+ * Connections of an owner at the least: one control connection and two
+ * connections for statements. Fewer owners with more connections each need
+ * fewer control connections. This leaves room for starting proxies while the
+ * target still keeps connections of failed ones.
  */
 const MINIMUM_CONNECTION_COUNT = 3;
 
-/** Maximum number of connection owners for a target with this limit. */
+/**
+ * Maximum number of connection owners of a target with this limit; at least 1.
+ */
 export function mostHolders(connectionLimit: number): number {
   const usable = connectionLimit * USABLE_CONNECTION_RATIO;
   return Math.max(1, Math.floor(usable / MINIMUM_CONNECTION_COUNT));
 }
 
 /**
- * Number of connections that each of `owners` may hold to a target; `owners` is
- * `Infinity` while it is unknown.
+ * Number of connections that each of `owners` may hold to a target, including
+ * its control connection. `owners` is `Infinity` while it is unknown; the
+ * result is then the minimum.
  */
 export function connectionsPerOwner(
   connectionLimit: number,
--- a/packages/targets/src/control_connection.ts
+++ b/packages/targets/src/control_connection.ts
@@ -23,8 +23,8 @@
 import type {SharedConnection} from './shared_connections';
 
 /**
- * Opening takes a round trip, and connection set-up in a slot of the target.
- * The target is considered unresponsive after this time.
+ * Timeout for opening, which takes a round trip and connection set-up in a slot
+ * of the target. The target is considered unresponsive after this time.
  */
 const OPEN_TIMEOUT_MS: Milliseconds = 350;
 
@@ -34,26 +34,34 @@
   /** True while a statement runs on it, which may delay answers to commands. */
   isBorrowed(): boolean;
   canBorrow(): boolean;
-  /** Borrows it for one statement, until `returnBorrowed`. */
+  /**
+   * Borrows the connection for one statement, until `returnBorrowed`; undefined
+   * if it is borrowed already or not open.
+   */
   borrow(): SharedConnection | undefined;
   returnBorrowed(shared: SharedConnection): void;
   owns(shared: SharedConnection): boolean;
   close(): void;
 }
 
-/** Options of a control connection. */
 export interface ControlConnectionOptions {
   readonly timer: TimerService;
   readonly target: TargetAddress;
   readonly open: OpenTargetConnection;
-  /** `requestedAt`: when opening began. `firstAnswers` includes a status. */
+  /**
+   * `requestedAt` is the time at which opening began. `firstAnswers` contains
+   * the answer to a status command.
+   */
   onOpened(requestedAt: Milliseconds, opened: OpenedConnection): void;
 }
 
-/** Probes the status while connecting: a starting proxy knows no primary. */
+/**
+ * The status is requested at opening, because a starting proxy knows no
+ * primary.
+ */
 const FIRST_REQUESTS = [{body: {kind: 'status'}}] as const;
 
-/** Creates a control connection that is not yet open. */
+/** Creates a control connection, which is opened by the first `get`. */
 export function createControlConnection(
   options: ControlConnectionOptions,
 ): ControlConnection {
--- a/packages/targets/src/group_positions.ts
+++ b/packages/targets/src/group_positions.ts
@@ -41,7 +41,7 @@
   readonly term: number;
 }
 
-/** Log positions of a group's targets. */
+/** Log positions of a group's targets, its leader, and the samples. */
 export interface GroupPositions {
   /** Sets the group's targets and how many replicas must receive a commit. */
   setTargets(targets: readonly string[], synchronousReplicas: number): void;
@@ -62,24 +62,31 @@
    */
   discardAll(): void;
   logOf(target: string): TargetLog | undefined;
-  /** Clears the leader if it is this target, which reported another role. */
+  /**
+   * Clears the leader if it is this target. To be called when the target
+   * reported another role.
+   */
   dismissLeader(target: string): void;
   /** The newest known leadership; it may have ended. */
   leader(): Leadership | undefined;
   /** `coveredAt` of the newest sample; `-Infinity` without one. */
   coveredAt(): Milliseconds;
-  /** The lowest retained position that covers all commits before a time. */
+  /**
+   * The lowest retained position that covers all commits before a time;
+   * undefined if no sample is that new.
+   */
   lowestCovering(time: Milliseconds): LogPosition | undefined;
 }
 
 /**
- * Retention of samples. Staleness bounds of routes are a few seconds at most.
+ * Time for which samples are retained; staleness bounds of routes are a few
+ * seconds at most.
  */
 const SAMPLE_RETENTION_MS: Milliseconds = 4000;
 /** Minimum distance of retained samples, which bounds their number. */
 const SAMPLE_INTERVAL_MS: Milliseconds = 50;
 
-/** Creates the positions of a group without targets. */
+/** Creates the positions of a group that has no targets yet. */
 export function createGroupPositions(): GroupPositions {
   const logs = new Map<string, TargetLog>();
   const statuses = new Map<string, KnownStatus>();
@@ -88,14 +95,20 @@
   let leadership: Leadership | undefined;
   let samples: PositionSample[] = [];
 
-  /** When a target was last known to have applied nothing above a term. */
+  /**
+   * Monotonic time when the target was last known to have applied nothing above
+   * a term; `-Infinity` if it is not known.
+   */
   function noLaterTermAppliedAt(target: string, term: number): Milliseconds {
     const log = logs.get(target);
     const hasNoLaterTerm = log !== undefined && log.position.term <= term;
     return hasNoLaterTerm ? log.askedAt : -Infinity;
   }
 
-  /** When a target was last known to have received nothing above a term. */
+  /**
+   * Monotonic time when the target was last known to have received nothing
+   * above a term; `-Infinity` if it is not known.
+   */
   function noLaterTermReceivedAt(target: string, term: number): Milliseconds {
     const known = statuses.get(target);
     const hasNoLaterTerm =
@@ -162,7 +175,10 @@
     samples.push(sample);
   }
 
-  /** True for a leader that lost its log: the log ends earlier than before. */
+  /**
+   * True if the target is the leader and has lost its log, which is the case if
+   * the log ends earlier than before.
+   */
   function hasLostLog(target: string, position: LogPosition): boolean {
     const known = logs.get(target);
     return (
--- a/packages/targets/src/pinned_connection.ts
+++ b/packages/targets/src/pinned_connection.ts
@@ -19,7 +19,6 @@
 import type {PinnedConnection, StatementWork} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
-/** Options of a pinned connection. */
 export interface PinnedConnectionOptions {
   readonly runtime: Runtime;
   readonly target: string;
@@ -36,7 +35,7 @@
 
 type Reply = Result<StatementAnswer, ConnectionLoss>;
 
-/** Pins a connection to a transaction. */
+/** Pins a connection to a transaction that has begun on it, until `end`. */
 export function pinConnection(
   options: PinnedConnectionOptions,
 ): PinnedConnection {
--- a/packages/targets/src/registration.ts
+++ b/packages/targets/src/registration.ts
@@ -1,10 +1,10 @@
-/** Registrations of targets with the platform. */
+/** What the platform registers about targets and their groups. */
 
-/** Registration of one target. */
+/** What the platform registers about one target. */
 export interface TargetRegistration {
   readonly target: string;
   readonly group: string;
-  /** `ip:port`. */
+  /** Address in the form `ip:port`. */
   readonly address: string;
   readonly dataCentre: string;
   /** Number of statements that it runs concurrently. */
--- a/packages/targets/src/shared_connections.ts
+++ b/packages/targets/src/shared_connections.ts
@@ -21,69 +21,79 @@
 } from '@kelpstep/runtime';
 import {Ok, type Result} from 'ts-results';
 
-/** A connection with the settings applied to it. */
+/** A connection, its user, and the settings applied to it. */
 export interface SharedConnection {
   readonly user: ConnectionUser;
   readonly connection: TargetConnection;
   readonly applied: SessionSettings;
 }
 
-/** Options of the connections to a target. */
+/** What the pool needs to open connections to a target. */
 export interface SharedConnectionsOptions {
   readonly timer: TimerService;
   readonly target: TargetAddress;
   readonly open: OpenTargetConnection;
-  /** Number of connections that this proxy may hold to the target. */
+  /** Number of pool connections that this proxy may hold to the target. */
   share(): number;
   /** Called when a connection became idle or was closed. */
   onAvailable(): void;
-  /** `requestedAt`: when opening began. */
+  /** `requestedAt` is the time at which opening began. */
   onOpened(requestedAt: Milliseconds, opened: OpenedConnection): void;
 }
 
-/** The connections to one target. */
+/** The pool of connections to one target, without its control connection. */
 export interface SharedConnections {
-  /** Takes the user's idle connection whose settings differ least. */
+  /**
+   * Takes the user's idle connection whose settings differ least; undefined if
+   * the user has none.
+   */
   take(
     user: ConnectionUser,
     settings: SessionSettings,
   ): SharedConnection | undefined;
   hasIdle(): boolean;
   mayOpen(): boolean;
-  /** True while none is open and the target's limit prevents a new one. */
+  /**
+   * True while no connection is open and the target's limit prevents a new one.
+   */
   isShutOut(): boolean;
-  /** Closes the least recently used idle connection; false without one. */
+  /** Closes the least recently used idle connection; false if none is idle. */
   evictIdle(): boolean;
-  /** Opens a connection, which counts as taken. */
+  /** Opens a connection for the user, who has then taken it. */
   open(user: ConnectionUser): Future<Result<SharedConnection, OpenFailure>>;
   /** Returns a taken connection; a closed one is dropped. */
   release(shared: SharedConnection): void;
   /** Number of connections that are open or being opened. */
   count(): number;
-  /** Closes a connection beyond the share that has been idle too long. */
+  /**
+   * Closes the least recently used idle connection if, at all calls for
+   * `IDLE_TIMEOUT_MS`, the pool exceeded the share and had an idle connection.
+   */
   trim(): void;
   closeAll(): void;
 }
 
 /**
- * Opening takes a round trip, and connection set-up takes tens of milliseconds
- * on the target. The target is considered unresponsive after this time.
+ * Timeout for opening, which takes a round trip, and tens of milliseconds for
+ * connection set-up on the target. The target is considered unresponsive after
+ * this time.
  */
 const OPEN_TIMEOUT_MS: Milliseconds = 500;
 
 /**
- * Connections opened beyond the share while the target accepts them: proxies
- * seldom need their full shares at the same time.
+ * Number of connections opened beyond the share while the target accepts them:
+ * proxies seldom need their full shares at the same time.
  */
 const EXTRA_CONNECTION_COUNT = 1;
 /**
- * Backoff of connections beyond the share after the target was at its limit.
+ * Time for which no connection beyond the share is opened after the target was
+ * at its limit.
  */
 const LIMIT_BACKOFF_MS: Milliseconds = 500;
-/** Idle time after which connections beyond the share are closed. */
+/** Time for which the pool may exceed the share while a connection is idle. */
 const IDLE_TIMEOUT_MS: Milliseconds = 300;
 
-/** Creates an empty pool. */
+/** Creates a pool without connections. */
 export function createSharedConnections(
   options: SharedConnectionsOptions,
 ): SharedConnections {
@@ -139,7 +149,10 @@
     return count < (mayExceedShare ? share + EXTRA_CONNECTION_COUNT : share);
   }
 
-  /** Idle time is counted from the last call without an idle connection. */
+  /**
+   * The time is counted from the last call at which no connection was idle or
+   * the pool didn't exceed the share.
+   */
   function trim(): void {
     const now = options.timer.now();
     const exceedsShare = all.size > options.share();
--- a/packages/targets/src/statement_exchange.ts
+++ b/packages/targets/src/statement_exchange.ts
@@ -17,7 +17,7 @@
 import type {StatementWork} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
-/** Options of an exchange. */
+/** A statement, and the connection on which it is sent. */
 export interface StatementExchange {
   readonly timer: TimerService;
   readonly shared: SharedConnection;
@@ -31,7 +31,10 @@
   ): void;
 }
 
-/** True for statements that a primary answers after a replica received them. */
+/**
+ * True for statements that a primary answers only after a replica received
+ * them.
+ */
 function waitsForReplica({
   request,
   shape,
@@ -43,8 +46,8 @@
 
 /**
  * Applies the settings and sends the statement, in one write. The connection is
- * closed if an answer is lost or a setting is refused: its state is then
- * unknown.
+ * closed if an answer is lost or a setting is refused, because its state is
+ * then unknown.
  */
 export function* exchangeStatement(
   exchange: StatementExchange,
@@ -55,8 +58,8 @@
   const setup = planDifference({applied, session, shape, isInTransaction});
   const requestedAt = timer.now();
   const sent = connection.send([...setup, request], exchange.timeout);
-  // Recorded without waiting: later requests on this connection run after
-  // these.
+  // The settings are recorded without waiting, because later requests on this
+  // connection run after these.
   noteApplied(applied, setup);
   const endWrite = waitsForReplica(exchange.statement)
     ? exchange.writes.start()
--- a/packages/targets/src/statement_request.ts
+++ b/packages/targets/src/statement_request.ts
@@ -11,7 +11,7 @@
 } from '@kelpstep/statements';
 import type {Result} from 'ts-results';
 
-/** A statement outside a transaction, or the start of one. */
+/** A statement outside a transaction, or the begin of one. */
 export interface StatementWork {
   /** Name of a class of statements with similar service times. */
   readonly kind: string;
@@ -30,7 +30,7 @@
   onSent(): void;
 }
 
-/** Outcome of a statement. */
+/** Whether a statement was answered, and if not, whether it was sent. */
 export type StatementOutcome =
   | {readonly kind: 'answered'; readonly answer: StatementAnswer}
   /** Refused by admission, nothing was sent; `retryAfter` in milliseconds. */
@@ -40,7 +40,7 @@
   /** Sent, but not answered. */
   | {readonly kind: 'lost'};
 
-/** A connection that is pinned by a transaction. */
+/** A connection that is pinned by a transaction until `end`. */
 export interface PinnedConnection {
   readonly target: string;
   /** Applies the session's settings and sends a statement. */
@@ -53,9 +53,11 @@
   end(): void;
 }
 
-/** Outcome of starting a transaction. */
+/** Outcome of beginning a transaction. */
 export interface PinnedStart {
   readonly outcome: StatementOutcome;
-  /** Set if the target has begun the transaction. */
+  /**
+   * The transaction's connection; set if the target has begun the transaction.
+   */
   readonly pinned: PinnedConnection | undefined;
 }
--- a/packages/targets/src/statement_runner.ts
+++ b/packages/targets/src/statement_runner.ts
@@ -32,7 +32,6 @@
 } from './statement_request';
 import type {WriteProgress} from './write_progress';
 
-/** Options of a runner. */
 export interface StatementRunnerOptions {
   readonly runtime: Runtime;
   readonly target: string;
@@ -53,10 +52,10 @@
   onUnresponsive(reason: string): void;
 }
 
-/** Runs statements on one target. */
+/** Runs statements on one target, in the order of admission. */
 export interface StatementRunner {
   run(statement: StatementWork): Future<StatementOutcome>;
-  /** Starts a transaction; `statement.request` begins it. */
+  /** Begins a transaction by `statement.request` and pins its connection. */
   pin(statement: StatementWork): Future<PinnedStart>;
   /** Predicted time until a statement of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
@@ -69,9 +68,9 @@
 /** Maximum number of statements queued for a target. */
 const QUEUE_CAPACITY = 500;
 
-/** Refuses a statement whose caller no longer waits. */
+/** Refusal of a statement whose caller no longer waits. */
 const ABANDONED = createFailure('OVERLOADED', {message: 'Nobody waits.'});
-/** Refuses statements that are queued when the target is removed. */
+/** Refusal of statements that are queued when the target is removed. */
 const TARGET_REMOVED = createFailure('OVERLOADED', {
   message: 'The target is gone.',
 });
@@ -141,9 +140,9 @@
   }
 
   /**
-   * The control connection is opened for the proxy itself, so it serves no
-   * other user. It serves no transaction either, which would block control
-   * commands.
+   * Borrows the control connection for a statement, if it may run there. The
+   * connection is opened for the proxy itself, so it serves no other user. It
+   * serves no transaction either, because that would block control commands.
    */
   function borrowControlConnection({
     request,
--- a/packages/targets/src/target_commands.ts
+++ b/packages/targets/src/target_commands.ts
@@ -29,7 +29,7 @@
   ConnectionLoss | OpenFailure | 'behind a statement' | 'too late'
 >;
 
-/** Options of commands to one target. */
+/** What the commands need from the link to the target. */
 export interface TargetCommandsOptions {
   readonly runtime: Runtime;
   readonly connection: ControlConnection;
@@ -45,7 +45,7 @@
   onUnresponsive(reason: string): void;
 }
 
-/** Runs commands on one target. */
+/** Runs commands on one target, over its control connection. */
 export interface TargetCommands {
   /**
    * Runs a command. It is not sent after `sendUntil`, a monotonic time that is
@@ -58,7 +58,7 @@
   ): Future<CommandReply>;
 }
 
-/** Creates the command interface to a target. */
+/** Creates the commands of a target, which are sent over `connection`. */
 export function createTargetCommands(
   options: TargetCommandsOptions,
 ): TargetCommands {
@@ -95,7 +95,8 @@
   }
 
   /**
-   * A time-out behind a running statement does not show a broken connection.
+   * Closes the connection after a loss, unless a command timed out behind a
+   * running statement, which does not show a broken connection.
    */
   function handleLoss(
     connection: TargetConnection,
@@ -109,7 +110,8 @@
   }
 
   /**
-   * Retries on a new connection, as the loss may concern the connection only.
+   * Sends a command; after a loss sends it once more on a new connection,
+   * because the loss may concern the connection only.
    */
   function* sendWithRetry(
     command: TargetOrder,
--- a/packages/targets/src/target_group.ts
+++ b/packages/targets/src/target_group.ts
@@ -22,14 +22,14 @@
 import type {GroupSettings, TargetRegistration} from './registration';
 import {type TargetLink, createTargetLink} from './target_link';
 
-/** Events of a group, for the log. */
+/** Receives changes of a group's targets and leader, for the log. */
 export interface TargetGroupEvents {
   onReachability(target: string, isReached: boolean, reason: string): void;
   onLeader(target: string, term: number): void;
   onTarget(target: string, event: 'added' | 'gone' | 'restarted'): void;
 }
 
-/** Options of a group. */
+/** What a group needs to open links to its targets. */
 export interface TargetGroupOptions {
   readonly group: string;
   readonly runtime: Runtime;
@@ -41,10 +41,14 @@
   holders(): number;
 }
 
-/** A group of targets. */
+/** The targets of a group, as far as they are known to this proxy. */
 export interface TargetGroup {
   readonly group: string;
-  /** Applies the current registrations and settings. */
+  /**
+   * Applies the current registrations and settings. Unknown targets are added;
+   * a target is removed when its registration has been missing for
+   * `REMOVAL_DELAY_MS`.
+   */
   update(
     registrations: readonly TargetRegistration[],
     settings: GroupSettings,
@@ -66,7 +70,8 @@
   /** Signals changes of the leader, the targets and the log positions. */
   readonly changes: ChangeSignal;
   /**
-   * Probes targets whose state is out of date; call it every `TICK_PERIOD_MS`.
+   * Probes targets whose state is out of date; to be called every
+   * `TICK_PERIOD`.
    */
   tick(): void;
   close(): void;
@@ -75,14 +80,14 @@
 /** Interval at which `TargetGroup.tick` is called. */
 export const TICK_PERIOD: Milliseconds = 100;
 /**
- * A target is probed when its newest known state is this old. Well below the
- * shortest staleness bound of routes, so that recent samples are available.
+ * Age of a target's newest known state at which it is probed. It is well below
+ * the shortest staleness bound of routes, so that recent samples are available.
  */
 const PROBE_INTERVAL_MS: Milliseconds = 300;
 /**
  * Minimum time between probe rounds that include statuses: a round trip between
- * regions. Without it each waiting read starts a round: 7 proxies without a
- * primary sent 2,600 status probes in 30 s.
+ * regions. Without it, each waiting read would start a round: 7 proxies without
+ * a primary sent 2,600 status probes in 30 s.
  */
 const PROBE_ROUND_INTERVAL_MS: Milliseconds = 25;
 /**
@@ -94,11 +99,14 @@
 
 interface Member {
   readonly link: TargetLink;
-  /** Since when the registration is missing; undefined while it is listed. */
+  /**
+   * Monotonic time since which the registration is missing; undefined while it
+   * is listed.
+   */
   missingSince: Milliseconds | undefined;
 }
 
-/** Creates a group without members. */
+/** Creates a group without members; `update` adds them. */
 export function createTargetGroup(options: TargetGroupOptions): TargetGroup {
   const {runtime, events} = options;
   const {timer} = runtime;
@@ -217,8 +225,8 @@
     setTargets();
     changes.give();
     if (members.size > before) {
-      // New targets are probed at once: after a start nothing is served until
-      // their state is known.
+      // New targets are probed at once, because nothing is served after a start
+      // until their state is known.
       tick();
     }
   }
@@ -249,9 +257,9 @@
   }
 
   /**
-   * A round proves nothing while the leader is unresponsive. With an
-   * unresponsive target it includes statuses, which occupy slots of the
-   * targets: all waiting tasks share one round.
+   * True if a probe round may start. A round proves nothing while the leader is
+   * unresponsive. With an unresponsive target, a round includes statuses, which
+   * occupy slots of the targets, so all waiting tasks share one round.
    */
   function mayStartProbeRound(): boolean {
     if (!leader()?.isReached()) {
--- a/packages/targets/src/target_link.ts
+++ b/packages/targets/src/target_link.ts
@@ -35,14 +35,17 @@
 import {type CommandReply, createTargetCommands} from './target_commands';
 import {createWriteProgress} from './write_progress';
 
-/** Options of a link. */
+/** What a link needs to reach its target, and callbacks for what it learns. */
 export interface TargetLinkOptions {
   readonly runtime: Runtime;
   readonly registration: TargetRegistration;
   readonly open: OpenTargetConnection;
   readonly readStatus: ReadTargetStatus;
   readonly policies: AdmissionPolicies;
-  /** Maximum number of connections of this proxy to the target. */
+  /**
+   * Maximum number of connections of this proxy to the target, including the
+   * control connection.
+   */
   share(): number;
   /**
    * Called with each end of the applied log that the target reports.
@@ -60,50 +63,75 @@
   registration(): TargetRegistration;
   update(registration: TargetRegistration): void;
   run(statement: StatementWork): Future<StatementOutcome>;
-  /** Starts a transaction; `statement.request` begins it. */
+  /** Begins a transaction by `statement.request` and pins its connection. */
   pin(statement: StatementWork): Future<PinnedStart>;
-  /** Sends a command on the control connection. */
+  /**
+   * Sends a command on the control connection. `timeout` bounds the wait for
+   * its answer after it was sent.
+   */
   order(
     command: TargetOrder,
     timeout: Milliseconds,
-    /** Monotonic time after which it is not sent; `Infinity` by default. */
+    /**
+     * Monotonic time after which the command is not sent; `Infinity` by
+     * default.
+     */
     sendUntil?: Milliseconds,
   ): Future<CommandReply>;
-  /** Probes the end of the target's log; false without an answer. */
+  /** Probes the end of the target's applied log; false without an answer. */
   probePosition(): Future<boolean>;
-  /** Probes the target's role, term and received log. */
+  /**
+   * Probes the target's role, term and received log; undefined without a valid
+   * answer.
+   */
   askStatus(): Future<TargetStatus | undefined>;
   /** Predicted time until a statement of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
-  /** Shortest round trip of a control command so far. */
+  /**
+   * Shortest round trip of a control command so far; undefined before the
+   * first.
+   */
   roundTrip(): Milliseconds | undefined;
   /** False from a failed probe or connection attempt until the next answer. */
   isReached(): boolean;
-  /** Since when the target is unresponsive; undefined while it is reachable. */
+  /**
+   * Monotonic time since which the target is unresponsive; undefined while it
+   * is reachable.
+   */
   silentSince(): Milliseconds | undefined;
-  /** When the newest answered request was sent; `-Infinity` without one. */
+  /**
+   * Monotonic time when the newest answered request was sent; `-Infinity`
+   * without one.
+   */
   lastAskedAt(): Milliseconds;
   /**
-   * True while this proxy holds no connection for the user and the target's
-   * connection limit prevents a new one.
+   * True while this proxy has no open statement connection and the target's
+   * connection limit prevents a new one. Always false for the proxy itself
+   * (`user` undefined), which can use the control connection.
    */
   isShutOut(user: ConnectionUser): boolean;
-  /** Since when pending writes are unanswered; undefined if none is pending. */
+  /**
+   * Monotonic time of the last answer to a write, or of sending the oldest
+   * pending write if that is later; undefined if no write is pending.
+   */
   writesStalledSince(): Milliseconds | undefined;
-  /** Closes idle connections beyond the share; call it a few times a second. */
+  /**
+   * Closes an idle connection beyond the share; to be called a few times a
+   * second.
+   */
   trim(): void;
   close(): void;
 }
 
 /**
- * Time-out of probes. Round trips between regions take tens of milliseconds at
- * most, and targets answer probes without occupying a slot. Together with the
- * time-out for opening a connection this makes up most of the time to detect an
- * unresponsive target.
+ * Timeout of probes. Round trips between regions take tens of milliseconds at
+ * most, and targets answer probes of the log position without occupying a slot.
+ * Together with the timeout for opening a connection this makes up most of the
+ * time to detect an unresponsive target.
  */
 const CONTROL_TIMEOUT_MS: Milliseconds = 250;
 
-/** Creates the link to a target; connections are opened on demand. */
+/** Creates the link to a target, whose connections are opened on demand. */
 export function createTargetLink(options: TargetLinkOptions): TargetLink {
   const {runtime, onPosition} = options;
   const {timer} = runtime;
@@ -152,7 +180,10 @@
     onUnresponsive: markUnresponsive,
   });
 
-  /** One of the connections is the control connection. */
+  /**
+   * Number of connections for statements: the share without the control
+   * connection, but at least 1.
+   */
   function share(): number {
     return Math.max(1, options.share() - 1);
   }
--- a/packages/targets/src/write_progress.ts
+++ b/packages/targets/src/write_progress.ts
@@ -4,11 +4,17 @@
  */
 import type {Milliseconds, TimerService} from '@kelpstep/runtime';
 
-/** Writes and commits in flight to one target. */
+/** Writes and commits in progress on one target. */
 export interface WriteProgress {
-  /** Records a sent write; call the result once, with its outcome. */
+  /**
+   * Records a sent write. The returned function is to be called once, with true
+   * if the write was answered.
+   */
   start(): (isAnswered: boolean) => void;
-  /** Since when pending writes are unanswered; undefined if none is pending. */
+  /**
+   * Monotonic time of the last answer to a write, or of sending the oldest
+   * pending write if that is later; undefined if no write is pending.
+   */
   stalledSince(): Milliseconds | undefined;
 }
 
