--- a/packages/gateway/src/dispatch.ts
+++ b/packages/gateway/src/dispatch.ts
@@ -68,7 +68,10 @@
 const MAXIMUM_WAIT_RATIO = 0.85;
 /** Maximum number of attempts that are sent for one statement. */
 const MAXIMUM_ATTEMPTS = 8;
-/** Backoff after a target had no capacity. */
+/**
+ * Backoff after an attempt failed, unless the target lagged or no connection
+ * could be opened; also the interval between look-ups of an unknown group.
+ */
 const RETRY_BACKOFF_MS: Milliseconds = 15;
 /** Backoff after no connection to a target could be opened. */
 const RECONNECT_BACKOFF_MS: Milliseconds = 40;
