--- a/packages/scenarios/__tests__/client_accounts.spec.ts
+++ b/packages/scenarios/__tests__/client_accounts.spec.ts
@@ -5,10 +5,10 @@
 import {startFault} from '../src/statements/random_faults';
 import {createAccounts} from '../src/statements/statement_accounts';
 import {
-  type StatementWorld,
-  type StatementWorldOptions,
-  createStatementWorld,
-} from '../src/statements/statement_world';
+  type StatementSimulation,
+  type StatementSimulationOptions,
+  createStatementSimulation,
+} from '../src/statements/statement_simulation';
 
 const DURATION = 14_000;
 const WARM_UP = 4000;
@@ -23,23 +23,23 @@
 
 function createWorld(
   seed: number,
-  options: Partial<StatementWorldOptions> = {},
-): StatementWorld {
-  return createStatementWorld({...WORLD, ...options, seed});
+  options: Partial<StatementSimulationOptions> = {},
+): StatementSimulation {
+  return createStatementSimulation({...WORLD, ...options, seed});
 }
 
-function shareServed(world: StatementWorld, from: number): number {
-  const {started, served} = world.counts.servedSince(from);
+function shareServed(simulation: StatementSimulation, from: number): number {
+  const {started, served} = simulation.counts.countsSince(from);
   return served / started;
 }
 
 describe('sessions of client accounts', () => {
   test('are served over connections that were opened for their account', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      world.finish();
-      const isServed = shareServed(world, WARM_UP) > 0.99;
-      const broken = world.checker.broken();
+      const simulation = createWorld(seed);
+      simulation.finish();
+      const isServed = shareServed(simulation, WARM_UP) > 0.99;
+      const broken = simulation.checker.broken();
       expect({seed, broken, isServed}).toEqual({
         seed,
         broken: [],
@@ -51,10 +51,10 @@
   test('are served where few proxies hold all connections', () => {
     for (const seed of SEEDS) {
       const fleet = {proxies: 15, sessions: 30, connectionLimit: 20};
-      const world = createWorld(seed, fleet);
-      world.finish();
-      const isServed = shareServed(world, WARM_UP) > 0.98;
-      const broken = world.checker.broken();
+      const simulation = createWorld(seed, fleet);
+      simulation.finish();
+      const isServed = shareServed(simulation, WARM_UP) > 0.98;
+      const broken = simulation.checker.broken();
       expect({seed, broken, isServed}).toEqual({
         seed,
         broken: [],
@@ -65,15 +65,15 @@
 
   test('keep their accounts apart while faults meet', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
+      const simulation = createWorld(seed);
       const random = createRandom(seed);
-      world.timer.after(WARM_UP, () => {
-        startFault(world, 'kill proxy', random);
-        startFault(world, 'crash primary', random);
-        startFault(world, 'answers lost', random);
+      simulation.timer.after(WARM_UP, () => {
+        startFault(simulation, 'kill proxy', random);
+        startFault(simulation, 'crash primary', random);
+        startFault(simulation, 'answers lost', random);
       });
-      world.finish();
-      const broken = world.checker.broken();
+      simulation.finish();
+      const broken = simulation.checker.broken();
       expect({seed, broken}).toEqual({seed, broken: []});
     }
   });
@@ -83,18 +83,18 @@
   const [lost, ...kept] = WORLD.accounts;
   const without = [{...lost, keyDigests: []}, ...kept] as typeof WORLD.accounts;
 
-  function countRefused(world: StatementWorld): number {
-    return world.counts.errors.get('notAuthorized') ?? 0;
+  function countRefused(simulation: StatementSimulation): number {
+    return simulation.counts.errors.get('notAuthorized') ?? 0;
   }
 
   test('serve no statement of an open session, and the others go on', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      world.timer.advance(WARM_UP);
-      world.configure({accounts: without});
-      world.finish();
-      const broken = world.checker.broken();
-      const isRefused = countRefused(world) > 0;
+      const simulation = createWorld(seed);
+      simulation.timer.advance(WARM_UP);
+      simulation.configure({accounts: without});
+      simulation.finish();
+      const broken = simulation.checker.broken();
+      const isRefused = countRefused(simulation) > 0;
       expect({seed, broken, isRefused}).toEqual({
         seed,
         broken: [],
@@ -105,26 +105,26 @@
 
   /** Cuts two proxies off from the store and from the others; gives the runs. */
   function playCutOff(seed: number, revocation: number | undefined) {
-    const world = createWorld(
+    const simulation = createWorld(
       seed,
       revocation === undefined ? {} : {revocation},
     );
-    const {timer, relays, proxies} = world;
+    const {timer, relays, proxies} = simulation;
     timer.advance(WARM_UP);
-    const hosts = proxies.map(world.hostOf);
+    const hosts = proxies.map(simulation.hostOf);
     const [first = '', second = ''] = hosts;
     hosts.slice(2).forEach(host => {
       relays.cut(first, host);
       relays.cut(second, host);
     });
     relays.cut(first, second);
-    world.store.faults.refused = new Set(proxies.slice(0, 2));
-    world.configure({accounts: without});
+    simulation.store.faults.refused = new Set(proxies.slice(0, 2));
+    simulation.configure({accounts: without});
     timer.advance(6000);
-    const {broken} = world.checker;
+    const {broken} = simulation.checker;
     return {
       isServedByLostKey: broken().some(({rule}) => rule === 'key taken away'),
-      refused: world.counts.errors.get('busy') ?? 0,
+      refused: simulation.counts.errors.get('busy') ?? 0,
     };
   }
 
@@ -147,13 +147,13 @@
 
   test('serve nothing through a proxy that the store refuses', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      world.timer.advance(WARM_UP);
-      world.store.faults.refused = new Set(world.proxies.slice(0, 2));
-      world.timer.advance(500);
-      world.configure({accounts: without});
-      world.finish();
-      const broken = world.checker.broken();
+      const simulation = createWorld(seed);
+      simulation.timer.advance(WARM_UP);
+      simulation.store.faults.refused = new Set(simulation.proxies.slice(0, 2));
+      simulation.timer.advance(500);
+      simulation.configure({accounts: without});
+      simulation.finish();
+      const broken = simulation.checker.broken();
       expect({seed, broken}).toEqual({seed, broken: []});
     }
   });
--- a/packages/scenarios/__tests__/loss_of_power.spec.ts
+++ b/packages/scenarios/__tests__/loss_of_power.spec.ts
@@ -16,7 +16,7 @@
         {seed, duration: DURATION, connectionLimit: 16},
         {warmUp: WARM_UP, downTime: DOWN_TIME, startTime: START_TIME},
       );
-      const {started, served} = world.counts.servedSince(from);
+      const {started, served} = world.counts.countsSince(from);
       world.finish();
       const isServing = started > 50 && served / started > 0.85;
       expect(world.checker.broken()).toEqual([]);
--- a/packages/scenarios/__tests__/loss_of_power_play.ts
+++ b/packages/scenarios/__tests__/loss_of_power_play.ts
@@ -2,10 +2,10 @@
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import {
-  type StatementWorld,
-  type StatementWorldOptions,
-  createStatementWorld,
-} from '../src/statements/statement_world';
+  type StatementSimulation,
+  type StatementSimulationOptions,
+  createStatementSimulation,
+} from '../src/statements/statement_simulation';
 
 /** How long targets hold the connections from before the loss. */
 const LINGER_TIME: Milliseconds = 3000;
@@ -21,17 +21,17 @@
 
 /** A world at the time when targets let the dead proxies' connections go. */
 export interface LossOfPowerPlay {
-  readonly world: StatementWorld;
+  readonly world: StatementSimulation;
   /** When proxies had started: what began since is judged. */
   readonly from: Milliseconds;
 }
 
 /** Plays a loss of power up to the time when targets hold nothing from before. */
 export function playLossOfPower(
-  options: StatementWorldOptions,
+  options: StatementSimulationOptions,
   {warmUp, downTime, startTime}: LossOfPowerTimes,
 ): LossOfPowerPlay {
-  const world = createStatementWorld(options);
+  const world = createStatementSimulation(options);
   const {timer, proxies} = world;
   timer.advance(warmUp);
   proxies.forEach(world.cutPower);
--- a/packages/scenarios/__tests__/lost_primary_load.spec.ts
+++ b/packages/scenarios/__tests__/lost_primary_load.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {createStatementWorld} from '../src/statements/statement_world';
+import {createStatementSimulation} from '../src/statements/statement_simulation';
 
 const WARM_UP = 4000;
 const PROMOTION_TIME = 2500;
@@ -17,12 +17,12 @@
 describe('statements that need a primary whose replacement takes seconds', () => {
   test('are refused at once, not held until their time is over', () => {
     for (const seed of [1, 2, 3]) {
-      const world = createStatementWorld({
+      const simulation = createStatementSimulation({
         seed,
         duration: WARM_UP + 2 * GAP,
         promotionTime: PROMOTION_TIME,
       });
-      const {timer, group} = world;
+      const {timer, group} = simulation;
       timer.advance(WARM_UP);
       const primary = group.primary()?.target ?? '';
       group.crash(primary);
@@ -32,11 +32,11 @@
       timer.advance(COUNTED_TIME);
       const until = timer.now();
       timer.advance(STATEMENT_TIME);
-      const times = world.counts.refusalTimesBetween(from, until);
+      const times = simulation.counts.refusalDurationsBetween(from, until);
       const longest = Math.max(...times);
-      world.finish();
+      simulation.finish();
       const isAtOnce = times.length > 0 && longest <= AT_ONCE;
-      expect({seed, broken: world.checker.broken(), isAtOnce}).toEqual({
+      expect({seed, broken: simulation.checker.broken(), isAtOnce}).toEqual({
         seed,
         broken: [],
         isAtOnce: true,
--- a/packages/scenarios/__tests__/mass_start.spec.ts
+++ b/packages/scenarios/__tests__/mass_start.spec.ts
@@ -26,8 +26,8 @@
     },
     {warmUp: WARM_UP, downTime: DOWN_TIME, startTime: START_TIME},
   );
-  const all = world.counts.servedSince(from);
-  const transactions = world.counts.transactionsSince(from);
+  const all = world.counts.countsSince(from);
+  const transactions = world.counts.transactionCountsSince(from);
   world.finish();
   return {all, transactions, broken: world.checker.broken()};
 }
--- a/packages/scenarios/__tests__/quotas.spec.ts
+++ b/packages/scenarios/__tests__/quotas.spec.ts
@@ -6,10 +6,10 @@
 import type {RunOperation} from '../src/statements/rule_checker';
 import {createAccounts} from '../src/statements/statement_accounts';
 import {
-  type StatementWorld,
-  type StatementWorldOptions,
-  createStatementWorld,
-} from '../src/statements/statement_world';
+  type StatementSimulation,
+  type StatementSimulationOptions,
+  createStatementSimulation,
+} from '../src/statements/statement_simulation';
 
 const DURATION = 16_000;
 /** The fleet is known, and its parts of quotas are lent. */
@@ -29,11 +29,11 @@
 /** Callers of the first account ask many times its quota. */
 function createWorld(
   seed: number,
-  options: Partial<StatementWorldOptions> = {},
-): StatementWorld {
+  options: Partial<StatementSimulationOptions> = {},
+): StatementSimulation {
   const [hot, cool] = createAccounts(2, QUOTA);
   const accounts = [hot, cool].flatMap(each => (each ? [each] : []));
-  return createStatementWorld({
+  return createStatementSimulation({
     seed,
     duration: DURATION,
     proxies: 6,
@@ -62,10 +62,14 @@
 }
 
 /** Ends the play and judges the hot account's operations. */
-function expectWithin(seed: number, world: StatementWorld, most: number): void {
-  world.finish();
-  const count = mostInWindow(world.checker.operationsOf(HOT));
-  const broken = world.checker.broken();
+function expectWithin(
+  seed: number,
+  simulation: StatementSimulation,
+  most: number,
+): void {
+  simulation.finish();
+  const count = mostInWindow(simulation.checker.operationsOf(HOT));
+  const broken = simulation.checker.broken();
   expect({seed, broken, isWithin: count <= most, count}).toEqual({
     seed,
     broken: [],
@@ -77,9 +81,9 @@
 describe('an account that asks many times its quota', () => {
   test('gets its quota, and no more', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      expectWithin(seed, world, bound(QUOTA));
-      const later = world.checker
+      const simulation = createWorld(seed);
+      expectWithin(seed, simulation, bound(QUOTA));
+      const later = simulation.checker
         .operationsOf(HOT)
         .filter(({sentAt}) => sentAt >= WARM_UP);
       const seconds = (DURATION - WARM_UP) / SECOND;
@@ -95,9 +99,12 @@
         sessions: 12,
         accounts: createAccounts(2, AMPLE).slice(1),
       });
-      const [share, shareAlone] = [beside, alone].map(world => {
-        world.finish();
-        const {started, served} = world.counts.servedOf(COOL, WARM_UP);
+      const [share, shareAlone] = [beside, alone].map(simulation => {
+        simulation.finish();
+        const {started, served} = simulation.counts.countsOfAccount(
+          COOL,
+          WARM_UP,
+        );
         return served / started;
       }) as [number, number];
       const isKept = share >= shareAlone - 0.02;
@@ -112,44 +119,44 @@
 
   test('gets no more from two halves that take each other for dead', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      const {timer, relays, proxies} = world;
-      const hosts = proxies.map(world.hostOf);
+      const simulation = createWorld(seed);
+      const {timer, relays, proxies} = simulation;
+      const hosts = proxies.map(simulation.hostOf);
       timer.advance(WARM_UP);
       relays.cutGroups(hosts.slice(0, 3), hosts.slice(3));
-      world.store.faults.refused = new Set(proxies.slice(0, 3));
+      simulation.store.faults.refused = new Set(proxies.slice(0, 3));
       timer.advance(6000);
       relays.healAll();
-      world.store.faults.refused = new Set();
+      simulation.store.faults.refused = new Set();
       // Each half may have a keeper for each data centre.
-      expectWithin(seed, world, bound(QUOTA, 2 * KEEPERS));
+      expectWithin(seed, simulation, bound(QUOTA, 2 * KEEPERS));
     }
   });
 
   test('gets no more while keepers are killed and start again', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      const {timer, proxies} = world;
+      const simulation = createWorld(seed);
+      const {timer, proxies} = simulation;
       timer.advance(WARM_UP);
       for (const proxy of proxies) {
-        world.killProxy(proxy);
+        simulation.killProxy(proxy);
         timer.advance(700);
-        world.startProxy(proxy);
+        simulation.startProxy(proxy);
         timer.advance(300);
       }
-      expectWithin(seed, world, bound(QUOTA, 2 * KEEPERS));
+      expectWithin(seed, simulation, bound(QUOTA, 2 * KEEPERS));
     }
   });
 
   test('gets no more when all proxies lose power, and no burst at the start', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
-      const {timer, proxies} = world;
+      const simulation = createWorld(seed);
+      const {timer, proxies} = simulation;
       timer.advance(WARM_UP);
-      proxies.forEach(world.cutPower);
+      proxies.forEach(simulation.cutPower);
       timer.advance(800);
-      proxies.forEach(world.startProxy);
-      expectWithin(seed, world, bound(QUOTA));
+      proxies.forEach(simulation.startProxy);
+      expectWithin(seed, simulation, bound(QUOTA));
     }
   });
 
@@ -158,22 +165,22 @@
     const allowance = createStartAllowance(quotaTolerance)(QUOTA);
     for (const seed of SEEDS) {
       const served = [undefined, quotaTolerance].map(tolerance => {
-        const world = createWorld(
+        const simulation = createWorld(
           seed,
           tolerance === undefined ? {} : {quotaTolerance: tolerance},
         );
-        const {timer, proxies} = world;
+        const {timer, proxies} = simulation;
         timer.advance(WARM_UP);
-        proxies.forEach(world.killProxy);
+        proxies.forEach(simulation.killProxy);
         timer.advance(800);
         const from = timer.now();
-        proxies.forEach(world.startProxy);
+        proxies.forEach(simulation.startProxy);
         timer.advance(3000);
-        const early = world.checker
+        const early = simulation.checker
           .operationsOf(HOT)
           .filter(({ranAt}) => ranAt >= from).length;
         // Keepers of before and after may each round one up.
-        expectWithin(seed, world, bound(QUOTA, 2 * KEEPERS) + allowance);
+        expectWithin(seed, simulation, bound(QUOTA, 2 * KEEPERS) + allowance);
         return early;
       }) as [number, number];
       const isMore = served[1] >= served[0] + allowance / 2;
@@ -183,15 +190,15 @@
 
   test('is bound by a lower limit, and served at once by a higher one', () => {
     for (const seed of SEEDS) {
-      const world = createWorld(seed);
+      const simulation = createWorld(seed);
       const lower = {rate: 3, burst: 3};
       const [hot, cool] = createAccounts(2, lower);
-      world.timer.advance(WARM_UP);
-      world.configure({accounts: [hot, cool].flatMap(each => each ?? [])});
-      world.timer.advance(5000);
-      const from = world.timer.now();
-      world.finish();
-      const operations = world.checker
+      simulation.timer.advance(WARM_UP);
+      simulation.configure({accounts: [hot, cool].flatMap(each => each ?? [])});
+      simulation.timer.advance(5000);
+      const from = simulation.timer.now();
+      simulation.finish();
+      const operations = simulation.checker
         .operationsOf(HOT)
         .filter(({sentAt}) => sentAt >= from);
       const count = mostInWindow(operations);
@@ -210,9 +217,9 @@
   test('is served though its callers come to all proxies', () => {
     for (const seed of SEEDS) {
       const accounts = createAccounts(4, SMALL);
-      const world = createWorld(seed, {accounts, sessions: 8});
-      world.finish();
-      const {started, served} = world.counts.servedSince(WARM_UP);
+      const simulation = createWorld(seed, {accounts, sessions: 8});
+      simulation.finish();
+      const {started, served} = simulation.counts.countsSince(WARM_UP);
       const isServed = served / started > 0.99;
       expect({seed, isServed, started, served}).toEqual({
         seed,
@@ -226,15 +233,15 @@
   test('is served while the keeper of its data centre is lost', () => {
     for (const seed of SEEDS) {
       const accounts = createAccounts(4, SMALL);
-      const world = createWorld(seed, {accounts, sessions: 8});
-      const {timer} = world;
+      const simulation = createWorld(seed, {accounts, sessions: 8});
+      const {timer} = simulation;
       timer.advance(WARM_UP);
       const from = timer.now();
-      world.killProxy('proxy-1');
+      simulation.killProxy('proxy-1');
       timer.advance(2500);
-      world.startProxy('proxy-1');
-      world.finish();
-      const {started, served} = world.counts.servedSince(from);
+      simulation.startProxy('proxy-1');
+      simulation.finish();
+      const {started, served} = simulation.counts.countsSince(from);
       const isServed = served / started > 0.95;
       expect({seed, isServed, started, served}).toEqual({
         seed,
--- a/packages/scenarios/__tests__/relayed_statements.spec.ts
+++ b/packages/scenarios/__tests__/relayed_statements.spec.ts
@@ -3,9 +3,9 @@
 import {describe, test} from 'node:test';
 
 import {
-  type StatementWorld,
-  createStatementWorld,
-} from '../src/statements/statement_world';
+  type StatementSimulation,
+  createStatementSimulation,
+} from '../src/statements/statement_simulation';
 
 const DURATION = 12_000;
 /** Until then the proxies know each other and have let go what others hold. */
@@ -43,69 +43,79 @@
   return served / started;
 }
 
-function holdersIn(world: StatementWorld): string[] {
-  return world.proxies.filter(
-    proxy => world.gateway(proxy)?.group(GROUP) !== undefined,
+function holdersIn(simulation: StatementSimulation): string[] {
+  return simulation.proxies.filter(
+    proxy => simulation.gateway(proxy)?.group(GROUP) !== undefined,
   );
 }
 
-function expectNothingBroken(seed: number, world: StatementWorld): void {
-  world.finish();
-  expect({seed, broken: world.checker.broken()}).toEqual({seed, broken: []});
+function expectNothingBroken(
+  seed: number,
+  simulation: StatementSimulation,
+): void {
+  simulation.finish();
+  expect({seed, broken: simulation.checker.broken()}).toEqual({
+    seed,
+    broken: [],
+  });
 }
 
 /** Cuts one of four proxies off from targets; counts what starts then. */
 function playCut(seed: number, targets: string[], relays: boolean): CutPlay {
-  const world = createStatementWorld({seed, duration: DURATION, relays});
-  const {timer, network, group} = world;
+  const simulation = createStatementSimulation({
+    seed,
+    duration: DURATION,
+    relays,
+  });
+  const {timer, network, group} = simulation;
   timer.advance(WARM_UP);
-  const place = world.placeOf('proxy-1');
+  const place = simulation.endpointOf('proxy-1');
   targets.forEach(target => network.cut(place, target));
   const from = timer.now();
   timer.advance(CUT_TIME);
-  const counts = world.counts.servedSince(from);
+  const counts = simulation.counts.countsSince(from);
   const primary = group.primary()?.target;
   targets.forEach(target => network.heal(place, target));
-  expectNothingBroken(seed, world);
+  expectNothingBroken(seed, simulation);
   return {...counts, primary};
 }
 
 describe('statements through other proxies', () => {
   test('are served where there are more proxies than connections', () => {
     for (const seed of SEEDS) {
-      const world = createStatementWorld({...FLEET, seed});
-      world.timer.advance(WARM_UP);
-      const from = world.timer.now();
-      world.timer.advance(CUT_TIME);
-      const connections = world.group
+      const simulation = createStatementSimulation({...FLEET, seed});
+      simulation.timer.advance(WARM_UP);
+      const from = simulation.timer.now();
+      simulation.timer.advance(CUT_TIME);
+      const connections = simulation.group
         .targets()
         .map(target => target.connections());
       const isWithin = Math.max(...connections) <= MOST_CONNECTIONS;
-      const holders = holdersIn(world).length;
-      const isServed = shareServed(world.counts.servedSince(from)) > 0.99;
+      const holders = holdersIn(simulation).length;
+      const isServed = shareServed(simulation.counts.countsSince(from)) > 0.99;
       expect({seed, isWithin, holders, isServed}).toEqual({
         seed,
         isWithin: true,
         holders: 4,
         isServed: true,
       });
-      expectNothingBroken(seed, world);
+      expectNothingBroken(seed, simulation);
     }
   });
 
   test('go on when most of the proxies that hold connections are killed', () => {
     for (const seed of SEEDS) {
-      const world = createStatementWorld({...FLEET, seed});
-      const {timer} = world;
+      const simulation = createStatementSimulation({...FLEET, seed});
+      const {timer} = simulation;
       timer.advance(WARM_UP);
-      const killed = holdersIn(world).slice(0, 3);
-      killed.forEach(world.killProxy);
+      const killed = holdersIn(simulation).slice(0, 3);
+      killed.forEach(simulation.killProxy);
       timer.advance(SETTLE_TIME);
       const from = timer.now();
       timer.advance(CUT_TIME - SETTLE_TIME);
-      const isServed = shareServed(world.counts.servedSince(from)) > 0.97;
-      killed.forEach(world.startProxy);
-      expectNothingBroken(seed, world);
+      const isServed = shareServed(simulation.counts.countsSince(from)) > 0.97;
+      killed.forEach(simulation.startProxy);
+      expectNothingBroken(seed, simulation);
       expect({seed, isServed}).toEqual({seed, isServed: true});
     }
   });
@@ -145,20 +155,20 @@
 
   test('leave a holder that has turned slow to others', () => {
     for (const seed of SEEDS) {
-      const world = createStatementWorld({...FLEET, seed});
-      const {timer, relays} = world;
+      const simulation = createStatementSimulation({...FLEET, seed});
+      const {timer, relays} = simulation;
       timer.advance(WARM_UP);
-      const slow = world.hostOf(holdersIn(world)[0] ?? '');
+      const slow = simulation.hostOf(holdersIn(simulation)[0] ?? '');
       const isConcerned = ({from, to}: MessageInTransit) =>
         from === slow || to === slow;
       const endDelay = relays.delayMessages(isConcerned, SLOW_BY);
       timer.advance(SECOND);
       const from = timer.now();
       timer.advance(CUT_TIME - SECOND);
-      const times = world.counts.statementTimesSince(from);
+      const times = simulation.counts.statementDurationsSince(from);
       const late = times.filter(time => time > SLOW_BY).length;
       endDelay();
-      expectNothingBroken(seed, world);
+      expectNothingBroken(seed, simulation);
       const isRare = late / times.length < 0.1;
       expect({seed, isRare}).toEqual({seed, isRare: true});
     }
@@ -166,10 +176,10 @@
 
   test('keep every rule when peers fall silent, freeze or are cut', () => {
     for (let seed = 1; seed <= 10; seed++) {
-      const world = createStatementWorld({...FLEET, seed});
-      const {timer, proxies, relays} = world;
+      const simulation = createStatementSimulation({...FLEET, seed});
+      const {timer, proxies, relays} = simulation;
       timer.advance(WARM_UP);
-      const hosts = proxies.map(world.hostOf);
+      const hosts = proxies.map(simulation.hostOf);
       const frozen = hosts.slice(0, 2);
       hosts
         .slice(2, 5)
@@ -180,7 +190,7 @@
       frozen.forEach(relays.thawHost);
       timer.advance(SETTLE_TIME);
       relays.healAll();
-      expectNothingBroken(seed, world);
+      expectNothingBroken(seed, simulation);
     }
   });
 });
--- a/packages/scenarios/__tests__/shut_out_holders.spec.ts
+++ b/packages/scenarios/__tests__/shut_out_holders.spec.ts
@@ -30,7 +30,7 @@
     },
     {warmUp: WARM_UP, downTime: DOWN_TIME, startTime: START_TIME},
   );
-  const counts = world.counts.servedSince(from);
+  const counts = world.counts.countsSince(from);
   world.finish();
   return {counts, broken: world.checker.broken()};
 }
--- a/packages/scenarios/__tests__/statement_sessions.spec.ts
+++ b/packages/scenarios/__tests__/statement_sessions.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {drawPair, playFaults} from '../src/statements/play_faults';
+import {drawPair, playFaults} from '../src/statements/fault_simulation';
 import {STATEMENT_FAULTS} from '../src/statements/random_faults';
 
 /** Operations that start after this time find the world whole again. */
@@ -9,19 +9,19 @@
 
 describe('statement sessions', () => {
   test('are served on a calm day', () => {
-    const world = playFaults({seed: 1, faults: []});
-    const {served, started} = world.counts;
-    expect(world.checker.broken()).toEqual([]);
+    const simulation = playFaults({seed: 1, faults: []});
+    const {served, started} = simulation.counts;
+    expect(simulation.checker.broken()).toEqual([]);
     expect(served / started > 0.99).toEqual(true);
-    expect(world.checker.acknowledged() > 100).toEqual(true);
+    expect(simulation.checker.acknowledged() > 100).toEqual(true);
   });
 
   for (const fault of STATEMENT_FAULTS) {
     test(`keep every rule with: ${fault}`, () => {
       for (const seed of [1, 2, 3]) {
-        const world = playFaults({seed, faults: [fault]});
-        const {started, served} = world.counts.servedSince(RECOVERED_AT);
-        expect(world.checker.broken()).toEqual([]);
+        const simulation = playFaults({seed, faults: [fault]});
+        const {started, served} = simulation.counts.countsSince(RECOVERED_AT);
+        expect(simulation.checker.broken()).toEqual([]);
         expect(served / started > 0.9).toEqual(true);
       }
     });
--- a/packages/scenarios/__tests__/succession.spec.ts
+++ b/packages/scenarios/__tests__/succession.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {createStatementWorld} from '../src/statements/statement_world';
+import {createStatementSimulation} from '../src/statements/statement_simulation';
 
 const DURATION = 9000;
 const WARM_UP = 3000;
@@ -12,8 +12,8 @@
 
 describe('a change of primary', () => {
   test('stops every replica before one is promoted', () => {
-    const world = createStatementWorld({seed: 1, duration: DURATION});
-    const {group, timer} = world;
+    const simulation = createStatementSimulation({seed: 1, duration: DURATION});
+    const {group, timer} = simulation;
     let sawAllPaused = false;
     timer.every(1, () => {
       const others = group.targets().filter(({target}) => target !== PRIMARY);
@@ -28,11 +28,11 @@
 
   test('after a loss takes a second beside the promotion at most', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const world = createStatementWorld({seed, duration: DURATION});
-      world.timer.advance(WARM_UP);
-      world.group.crash(PRIMARY);
-      const isReplaced = world.timer.runUntil(
-        () => world.group.primary() !== undefined,
+      const simulation = createStatementSimulation({seed, duration: DURATION});
+      simulation.timer.advance(WARM_UP);
+      simulation.group.crash(PRIMARY);
+      const isReplaced = simulation.timer.runUntil(
+        () => simulation.group.primary() !== undefined,
         DECISION_TIME + PROMOTION_TIME,
       );
       expect({seed, isReplaced}).toEqual({seed, isReplaced: true});
@@ -41,18 +41,18 @@
 
   test('that is planned is over before the old primary goes', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const world = createStatementWorld({seed, duration: DURATION});
-      world.timer.advance(WARM_UP);
-      world.setLeaving(PRIMARY, true);
-      world.timer.runUntil(
-        () => (world.group.primary()?.target ?? PRIMARY) !== PRIMARY,
+      const simulation = createStatementSimulation({seed, duration: DURATION});
+      simulation.timer.advance(WARM_UP);
+      simulation.setLeaving(PRIMARY, true);
+      simulation.timer.runUntil(
+        () => (simulation.group.primary()?.target ?? PRIMARY) !== PRIMARY,
         DECISION_TIME + PROMOTION_TIME,
       );
-      const next = world.group.primary()?.target ?? '';
-      world.finish();
-      const {started, served} = world.counts;
+      const next = simulation.group.primary()?.target ?? '';
+      simulation.finish();
+      const {started, served} = simulation.counts;
       expect(next === '' || next === PRIMARY).toEqual(false);
-      expect(world.checker.broken()).toEqual([]);
+      expect(simulation.checker.broken()).toEqual([]);
       expect({seed, isServed: served / started > 0.97}).toEqual({
         seed,
         isServed: true,
@@ -62,34 +62,34 @@
 
   test('is not followed by another while its leader is still unknown', () => {
     for (let seed = 1; seed <= 8; seed++) {
-      const world = createStatementWorld({
+      const simulation = createStatementSimulation({
         seed,
         duration: 2 * DURATION,
         promotionTime: 1000,
       });
-      const {group, timer} = world;
+      const {group, timer} = simulation;
       const terms = new Set<number>();
       timer.every(1, () => terms.add(group.primary()?.term() ?? 0));
       timer.advance(WARM_UP);
       group.crash(PRIMARY);
       // Nobody knows who led: all wait for the same change to end.
-      for (const proxy of world.proxies) {
-        const known = world.gateway(proxy)?.group('records');
+      for (const proxy of simulation.proxies) {
+        const known = simulation.gateway(proxy)?.group('records');
         known?.positions.dismissLeader(PRIMARY);
       }
-      world.finish();
-      expect(world.checker.broken()).toEqual([]);
+      simulation.finish();
+      expect(simulation.checker.broken()).toEqual([]);
       expect({seed, terms: [...terms]}).toEqual({seed, terms: [1, 0, 2]});
     }
   });
 
   test('left half done by its holder is taken over', () => {
-    const world = createStatementWorld({
+    const simulation = createStatementSimulation({
       seed: 1,
       duration: 2 * DURATION,
       promotionTime: PROMOTION_TIME,
     });
-    const {group, timer} = world;
+    const {group, timer} = simulation;
     timer.advance(WARM_UP);
     group.crash(PRIMARY);
     // Whoever acts dies as soon as the replicas are stopped.
@@ -101,24 +101,27 @@
           .every(target => target.isPaused()),
       DECISION_TIME,
     );
-    const survivor = world.proxies[0] ?? '';
-    for (const proxy of world.proxies) {
-      world.killProxy(proxy);
+    const survivor = simulation.proxies[0] ?? '';
+    for (const proxy of simulation.proxies) {
+      simulation.killProxy(proxy);
     }
-    world.startProxy(survivor);
+    simulation.startProxy(survivor);
     const isReplaced = timer.runUntil(
       () => group.primary() !== undefined,
       2 * WARM_UP,
     );
-    world.finish();
+    simulation.finish();
     expect(isReplaced).toEqual(true);
-    expect(world.checker.broken()).toEqual([]);
+    expect(simulation.checker.broken()).toEqual([]);
   });
 
   test('frees writes that no replica receives', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const world = createStatementWorld({seed, duration: 2 * DURATION});
-      const {group, network, timer} = world;
+      const simulation = createStatementSimulation({
+        seed,
+        duration: 2 * DURATION,
+      });
+      const {group, network, timer} = simulation;
       const replicas = ['target-2', 'target-3'];
       timer.advance(WARM_UP);
       replicas.forEach(target => network.cut(PRIMARY, target));
@@ -129,11 +132,11 @@
       timer.advance(DECISION_TIME);
       const from = timer.now();
       timer.advance(DECISION_TIME);
-      const {started, served} = world.counts.servedSince(from);
+      const {started, served} = simulation.counts.countsSince(from);
       replicas.forEach(target => network.heal(PRIMARY, target));
-      world.finish();
+      simulation.finish();
       const isServed = served / started > 0.9;
-      expect({seed, broken: world.checker.broken()}).toEqual({
+      expect({seed, broken: simulation.checker.broken()}).toEqual({
         seed,
         broken: [],
       });
@@ -147,16 +150,16 @@
 
   test('is not made for answers that are lost', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const world = createStatementWorld({seed, duration: DURATION});
-      world.timer.advance(WARM_UP);
-      world.lostAnswers = 0.2;
-      world.timer.advance(WARM_UP);
-      world.lostAnswers = 0;
-      expect({seed, term: world.group.target(PRIMARY).term()}).toEqual({
+      const simulation = createStatementSimulation({seed, duration: DURATION});
+      simulation.timer.advance(WARM_UP);
+      simulation.lostAnswerShare = 0.2;
+      simulation.timer.advance(WARM_UP);
+      simulation.lostAnswerShare = 0;
+      expect({seed, term: simulation.group.target(PRIMARY).term()}).toEqual({
         seed,
         term: 1,
       });
-      world.finish();
+      simulation.finish();
     }
   });
 });
--- a/packages/scenarios/src/statements/operation_counts.ts
+++ b/packages/scenarios/src/statements/operation_counts.ts
@@ -1,80 +1,88 @@
-/** How callers' operations ended, for tests to judge. */
+/** Results of callers' operations, for assertions in tests. */
 import type {Milliseconds} from '@kelpstep/runtime';
 import type {StatementErrorName} from '@kelpstep/statements';
 
-/** Operations that have ended. */
-export interface ServedOperations {
+/** Number of completed operations, and how many of them were served. */
+export interface CompletionCounts {
   readonly started: number;
   readonly served: number;
 }
 
-/** How operations ended. */
+/** Results of the operations of a run. */
 export interface OperationCounts {
   started: number;
   served: number;
   readonly errors: Map<StatementErrorName | 'no answer', number>;
-  /** Served ones among those that started after a time. */
-  servedSince(time: Milliseconds): ServedOperations;
-  /** The same, of one account's callers. */
-  servedOf(account: string, time: Milliseconds): ServedOperations;
-  /** Durations of the single statements among them that were served. */
-  statementTimesSince(time: Milliseconds): readonly Milliseconds[];
-  /** The same, of transactions alone. */
-  transactionsSince(time: Milliseconds): ServedOperations;
-  /** Times after which single statements that started then were refused. */
-  refusalTimesBetween(
+  /** Counts of operations that started at or after a time. */
+  countsSince(time: Milliseconds): CompletionCounts;
+  /** Counts of one account's operations that started at or after a time. */
+  countsOfAccount(account: string, time: Milliseconds): CompletionCounts;
+  /** Durations of served single statements that started at or after a time. */
+  statementDurationsSince(time: Milliseconds): readonly Milliseconds[];
+  /** Counts of transactions that started at or after a time. */
+  transactionCountsSince(time: Milliseconds): CompletionCounts;
+  /** Durations until `busy` of single statements that started in `[from, until)`. */
+  refusalDurationsBetween(
     from: Milliseconds,
     until: Milliseconds,
   ): readonly Milliseconds[];
 }
 
-/** One operation that has ended. */
+/** One completed operation. */
 export interface EndedOperation {
   /** Monotonic time of its start. */
   readonly at: Milliseconds;
   readonly duration: Milliseconds;
   readonly account: string | undefined;
   readonly isTransaction: boolean;
-  /** Undefined if it was served. */
+  /** Error, or `no answer` after a timeout; undefined if it was served. */
   readonly failure: StatementErrorName | 'no answer' | undefined;
 }
 
-/** Counts with the function that adds to them. */
+/** Log of completed operations with the counts derived from it. */
 export interface OperationLog {
   readonly counts: OperationCounts;
-  note(operation: EndedOperation): void;
+  record(operation: EndedOperation): void;
 }
 
-function count(operations: readonly EndedOperation[]): ServedOperations {
+function countOperations(
+  operations: readonly EndedOperation[],
+): CompletionCounts {
   const served = operations.filter(({failure}) => failure === undefined);
   return {started: operations.length, served: served.length};
 }
 
-/** Creates a log without operations. */
+/** Creates an empty log. */
 export function createOperationLog(): OperationLog {
   const log: EndedOperation[] = [];
   const counts: OperationCounts = {
     started: 0,
     served: 0,
     errors: new Map(),
-    servedSince: time => count(log.filter(({at}) => at >= time)),
-    servedOf: (account, time) =>
-      count(log.filter(each => each.account === account && each.at >= time)),
-    statementTimesSince: time =>
-      statementTimes(({at, failure}) => at >= time && failure === undefined),
-    transactionsSince: time =>
-      count(log.filter(({at, isTransaction}) => isTransaction && at >= time)),
-    refusalTimesBetween: (from, until) =>
-      statementTimes(
+    countsSince: time => countOperations(log.filter(({at}) => at >= time)),
+    countsOfAccount: (account, time) =>
+      countOperations(
+        log.filter(each => each.account === account && each.at >= time),
+      ),
+    statementDurationsSince: time =>
+      statementDurations(
+        ({at, failure}) => at >= time && failure === undefined,
+      ),
+    transactionCountsSince: time =>
+      countOperations(
+        log.filter(({at, isTransaction}) => isTransaction && at >= time),
+      ),
+    refusalDurationsBetween: (from, until) =>
+      statementDurations(
         ({at, failure}) => at >= from && at < until && failure === 'busy',
       ),
   };
 
-  function statementTimes(
-    isWanted: (operation: EndedOperation) => boolean,
+  function statementDurations(
+    matches: (operation: EndedOperation) => boolean,
   ): Milliseconds[] {
     return log
-      .filter(operation => !operation.isTransaction && isWanted(operation))
+      .filter(operation => !operation.isTransaction && matches(operation))
       .map(({duration}) => duration);
   }
 
@@ -88,5 +96,5 @@
     }
   }
 
-  return {counts, note};
+  return {counts, record: note};
 }
--- a/packages/scenarios/src/statements/proxy_edges.ts
+++ b/packages/scenarios/src/statements/proxy_stubs.ts
@@ -1,10 +1,10 @@
-/** Edges of proxies in a statement world: what they tell, and how rows are read. */
+/** Event handlers and the status parser of the proxies in a statement simulation. */
 import type {StatementProxyEvents} from '@kelpstep/gateway';
 import type {StatementAnswer, TargetStatus} from '@kelpstep/statements';
 import {IGNORED_FEED_EVENTS} from '@kelpstep/table-feed';
 
-/** Tells nobody. */
-export const SILENT_EVENTS: StatementProxyEvents = {
+/** Handlers that ignore all events. */
+export const IGNORED_EVENTS: StatementProxyEvents = {
   gateway: {onRequestEnd: () => {}, onSession: () => {}},
   targets: () => ({
     onReachability: () => {},
@@ -22,7 +22,10 @@
   tables: IGNORED_FEED_EVENTS,
 };
 
-/** Reads the row of a stand-in's status. */
+/**
+ * Parses a stand-in's status row, `ROLE TERM RECEIVED_TERM.POSITION TERM_HELD`.
+ * Undefined if the role is unknown.
+ */
 export function readStatus(answer: StatementAnswer): TargetStatus | undefined {
   const [role, term, end = '', termHeld] = answer.rows[0]?.split(' ') ?? [];
   if (role !== 'primary' && role !== 'replica') {
--- a/packages/scenarios/src/statements/random_faults.ts
+++ b/packages/scenarios/src/statements/random_faults.ts
@@ -1,9 +1,9 @@
-/** Faults of a statement world at random times, drawn from a seed. */
+/** Faults of a statement simulation, with random durations and targets. */
 import {type Milliseconds, type Random} from '@kelpstep/runtime';
 
-import type {StatementWorld} from './statement_world';
+import type {StatementSimulation} from './statement_simulation';
 
-/** Names of faults that are drawn. */
+/** Names of the faults that can be drawn. */
 export const STATEMENT_FAULTS = [
   'crash primary',
   'crash replica',
@@ -31,45 +31,47 @@
 ] as const;
 export type StatementFault = (typeof STATEMENT_FAULTS)[number];
 
-const SHORTEST: Milliseconds = 400;
-const LONGEST: Milliseconds = 4500;
+const SHORTEST_FAULT_MS: Milliseconds = 400;
+const LONGEST_FAULT_MS: Milliseconds = 4500;
 
-/** Starts a fault; the world is whole again after a while. */
+/** Starts a fault and schedules its end after a random duration. */
 export function startFault(
-  world: StatementWorld,
+  simulation: StatementSimulation,
   fault: StatementFault,
   random: Random,
 ): void {
-  const {timer, group, network, store, proxies} = world;
-  const places = proxies.map(world.placeOf);
-  const duration = SHORTEST + (LONGEST - SHORTEST) * random.fraction();
+  const {timer, group, network, store, proxies} = simulation;
+  const endpoints = proxies.map(simulation.endpointOf);
+  const duration =
+    SHORTEST_FAULT_MS +
+    (LONGEST_FAULT_MS - SHORTEST_FAULT_MS) * random.fraction();
   const primary = group.primary()?.target ?? 'target-1';
-  const names = group.targets().map(({target}) => target);
-  const replicas = names.filter(name => name !== primary);
+  const targets = group.targets().map(({target}) => target);
+  const replicas = targets.filter(name => name !== primary);
   const replica = random.pick(replicas);
   const proxy = random.pick(proxies);
-  const place = world.placeOf(proxy);
+  const endpoint = simulation.endpointOf(proxy);
 
-  function later(heal: () => void): void {
-    timer.after(duration, heal);
+  function scheduleEnd(end: () => void): void {
+    timer.after(duration, end);
   }
 
   function crash(target: string): void {
     if (group.target(target).isRunning()) {
       group.crash(target);
-      later(() => group.restart(target, false));
+      scheduleEnd(() => group.restart(target, false));
     }
   }
 
-  function cut(from: string, others: readonly string[]): void {
-    others.forEach(other => network.cut(from, other));
-    later(() => others.forEach(other => network.heal(from, other)));
+  function partition(from: string, peers: readonly string[]): void {
+    peers.forEach(peer => network.cut(from, peer));
+    scheduleEnd(() => peers.forEach(peer => network.heal(from, peer)));
   }
 
   function kill(name: string): void {
-    if (world.gateway(name) !== undefined) {
-      world.killProxy(name);
-      later(() => world.startProxy(name));
+    if (simulation.gateway(name) !== undefined) {
+      simulation.killProxy(name);
+      scheduleEnd(() => simulation.startProxy(name));
     }
   }
 
@@ -81,34 +83,34 @@
       crash(replica);
       return;
     case 'cut primary from replicas':
-      cut(primary, replicas);
+      partition(primary, replicas);
       return;
     case 'cut primary from a proxy':
-      cut(primary, [place]);
+      partition(primary, [endpoint]);
       return;
     case 'cut a proxy off':
-      cut(place, names);
+      partition(endpoint, targets);
       return;
     case 'isolate primary':
-      cut(primary, [...replicas, ...places.slice(1)]);
+      partition(primary, [...replicas, ...endpoints.slice(1)]);
       return;
     case 'isolate primary and a proxy from the store':
-      // Long enough for another target to lead and take writes.
+      // Lasts long enough for another target to become primary and accept writes.
       store.faults.refused = new Set(proxies.slice(0, 1));
-      later(() => (store.faults.refused = new Set()));
-      cut(primary, [...replicas, ...places.slice(1)]);
+      scheduleEnd(() => (store.faults.refused = new Set()));
+      partition(primary, [...replicas, ...endpoints.slice(1)]);
       return;
     case 'cut primary from most proxies':
-      cut(primary, places.slice(1));
+      partition(primary, endpoints.slice(1));
       return;
     case 'only copy silent': {
-      const other = replicas.filter(name => name !== replica);
+      const peer = replicas.filter(name => name !== replica);
       group.target(replica).setDeaf(true);
       timer.after(duration / 4, () => {
         crash(primary);
-        other.forEach(name => cut(name, places));
+        peer.forEach(name => partition(name, endpoints));
       });
-      later(() => group.target(replica).setDeaf(false));
+      scheduleEnd(() => group.target(replica).setDeaf(false));
       return;
     }
     case 'deaf replica':
@@ -117,42 +119,42 @@
       if (fault === 'deaf replica, then crash') {
         timer.after(duration / 2, () => crash(primary));
       }
-      later(() => group.target(replica).setDeaf(false));
+      scheduleEnd(() => group.target(replica).setDeaf(false));
       return;
     case 'leaving primary':
-      world.setLeaving(primary, true);
-      later(() => world.setLeaving(primary, false));
+      simulation.setLeaving(primary, true);
+      scheduleEnd(() => simulation.setLeaving(primary, false));
       return;
     case 'store refuses some':
       store.faults.refused = new Set([proxy]);
-      later(() => (store.faults.refused = new Set()));
+      scheduleEnd(() => (store.faults.refused = new Set()));
       return;
     case 'store silent':
       store.faults.silent = 'all';
-      later(() => (store.faults.silent = new Set()));
+      scheduleEnd(() => (store.faults.silent = new Set()));
       return;
     case 'store loses answers':
       store.faults.lostAnswers = 0.4;
-      later(() => (store.faults.lostAnswers = 0));
+      scheduleEnd(() => (store.faults.lostAnswers = 0));
       return;
     case 'store writes late':
       store.faults.lateWrites = 0.4;
-      later(() => (store.faults.lateWrites = 0));
+      scheduleEnd(() => (store.faults.lateWrites = 0));
       return;
     case 'store compacts':
       store.compact();
       return;
     case 'orders late':
-      world.lateOrders = 0.6;
-      later(() => (world.lateOrders = 0));
+      simulation.latePromotionShare = 0.6;
+      scheduleEnd(() => (simulation.latePromotionShare = 0));
       return;
     case 'orders to targets late':
-      world.lateTargetOrders = 0.5;
-      later(() => (world.lateTargetOrders = 0));
+      simulation.lateTargetCommandShare = 0.5;
+      scheduleEnd(() => (simulation.lateTargetCommandShare = 0));
       return;
     case 'answers lost':
-      world.lostAnswers = 0.03;
-      later(() => (world.lostAnswers = 0));
+      simulation.lostAnswerShare = 0.03;
+      scheduleEnd(() => (simulation.lostAnswerShare = 0));
       return;
     case 'kill proxy':
       kill(proxy);
@@ -162,9 +164,9 @@
       return;
     case 'all proxies lose power':
       proxies.forEach(name => {
-        if (world.gateway(name) !== undefined) {
-          world.cutPower(name);
-          later(() => world.startProxy(name));
+        if (simulation.gateway(name) !== undefined) {
+          simulation.cutPower(name);
+          scheduleEnd(() => simulation.startProxy(name));
         }
       });
   }
--- a/packages/scenarios/src/statements/rule_checker.ts
+++ b/packages/scenarios/src/statements/rule_checker.ts
@@ -1,6 +1,7 @@
 /**
- * Judges proxies by what callers and targets saw. A finding names the rule that
- * was broken and the request that shows it.
+ * Checks proxies against the requests that callers sent, the answers that they
+ * received and the statements that targets ran. A finding names the violated
+ * rule and the request that shows the violation.
  */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import type {Freshness} from '@kelpstep/gateway';
@@ -14,7 +15,7 @@
 } from '@kelpstep/stand-ins';
 import {STATEMENT_ERRORS, type StatementAnswer} from '@kelpstep/statements';
 
-/** Promises that are checked. */
+/** Rules that are checked. */
 export type Rule =
   | 'stale read'
   | 'wrong settings'
@@ -29,7 +30,7 @@
   | 'wrong account'
   | 'key taken away';
 
-/** A broken promise. */
+/** A violation of a rule. */
 export interface BrokenRule {
   readonly rule: Rule;
   readonly at: Milliseconds;
@@ -39,51 +40,51 @@
 /** A request as its caller sent it. */
 export interface SentRequest {
   readonly id: string;
-  /** Account whose key the caller has; undefined where nobody needs one. */
+  /** Account whose key the caller uses; undefined if no key is required. */
   readonly account: string | undefined;
   readonly session: number;
   readonly kind: 'read' | 'write' | 'commit';
   readonly freshness: Freshness;
   readonly maximumStaleness: Milliseconds;
-  /** When the request, or its transaction's first one, was sent. */
+  /** When the request, or the first request of its transaction, was sent. */
   readonly since: Milliseconds;
   readonly values: ReadonlyMap<string, string>;
   readonly shape: string | undefined;
-  /** The caller's transaction; undefined outside one. */
+  /** Number of the caller's transaction; undefined outside a transaction. */
   readonly transaction: number | undefined;
-  /** Writes that a commit covers; of a single write its own id. */
+  /** Ids of the writes that a commit covers; for a single write its own id. */
   readonly writes: readonly string[];
 }
 
-/** Takes what callers and targets saw. */
+/** Records what callers and targets observe, and checks the rules. */
 export interface RuleChecker extends RunRecorder {
   onSent(request: SentRequest): void;
   onAnswer(request: SentRequest, answer: StatementAnswer): void;
-  /** Nothing that is sent from then on may run for the account. */
-  onKeysTakenAway(account: string, from: Milliseconds): void;
-  /** The attempt to which these writes belong was given a promise. */
-  onPromise(writes: readonly string[]): void;
-  /** Judges what is left once all is quiet. */
+  /** Requests of the account that are sent after `from` must not run. */
+  onKeysRevoked(account: string, from: Milliseconds): void;
+  /** The caller was told that none of these writes is committed. */
+  onReportedNotRun(writes: readonly string[]): void;
+  /** Runs the final checks on the primary's log after the run is quiescent. */
   finish(primary: StandInTarget | undefined): void;
-  /** When operations of an account were sent, and when targets ran them. */
+  /** Operations of an account that targets ran. */
   operationsOf(account: string): readonly RunOperation[];
   broken(): readonly BrokenRule[];
   acknowledged(): number;
 }
 
-/** An operation as quotas count it: a transaction is one. */
+/** An operation as quotas count it: a transaction counts once. */
 export interface RunOperation {
   readonly sentAt: Milliseconds;
   readonly ranAt: Milliseconds;
 }
 
-interface Acknowledged {
+interface AcknowledgedCommit {
   readonly writes: readonly string[];
   readonly session: number;
   readonly at: Milliseconds;
 }
 
-/** Creates a checker of one group's targets. */
+/** Creates a checker for the targets of one group. */
 export function createRuleChecker(
   timer: TimerService,
   target: (name: string) => StandInTarget,
@@ -92,12 +93,12 @@
   const sent = new Map<string, SentRequest>();
   const sentAt = new Map<string, Milliseconds>();
   const operations = new Map<string, RunOperation[]>();
-  const takenAwayAt = new Map<string, Milliseconds>();
-  const acknowledged: Acknowledged[] = [];
-  const promised = new Set<string>();
-  const places = new Map<number, string>();
-  const epochs = new Map<number, string>();
-  const indexes = new Map<
+  const revokedAt = new Map<string, Milliseconds>();
+  const acknowledged: AcknowledgedCommit[] = [];
+  const reportedNotRun = new Set<string>();
+  const transactionLocations = new Map<number, string>();
+  const promotersByEpoch = new Map<number, string>();
+  const writePositions = new Map<
     string,
     {end: string; positions: Map<string, LogPosition>}
   >();
@@ -106,11 +107,14 @@
     findings.push({rule, at: timer.now(), detail});
   }
 
-  function idsOf(log: readonly LogRecord[]): Set<string> {
+  function writeIdsOf(log: readonly LogRecord[]): Set<string> {
     return new Set(log.flatMap(({writes}) => writes));
   }
 
-  function mustSee(request: SentRequest, commit: Acknowledged): boolean {
+  function mustObserve(
+    request: SentRequest,
+    commit: AcknowledgedCommit,
+  ): boolean {
     const {freshness, since, maximumStaleness, session} = request;
     if (freshness === 'primary') {
       return commit.at < since;
@@ -119,13 +123,13 @@
     return commit.at < (isOwn ? since : since - maximumStaleness);
   }
 
-  /** Where each write stands in a target's log; kept until the log changes. */
-  function indexOf(name: string): Map<string, LogPosition> {
+  /** Log position of each write at a target; cached until the log changes. */
+  function writePositionsIn(name: string): Map<string, LogPosition> {
     const log = target(name).log();
     const last = log[log.length - 1]?.position;
-    const end = `${last?.term}.${last?.position}/${log.length}`;
-    const known = indexes.get(name);
-    if (known !== undefined && known.end === end) {
+    const logEnd = `${last?.term}.${last?.position}/${log.length}`;
+    const known = writePositions.get(name);
+    if (known !== undefined && known.end === logEnd) {
       return known.positions;
     }
     const positions = new Map(
@@ -133,24 +137,26 @@
         writes.map(id => [id, position] as const),
       ),
     );
-    indexes.set(name, {end, positions});
+    writePositions.set(name, {end: logEnd, positions});
     return positions;
   }
 
   function checkFreshness(run: StatementRun, request: SentRequest): void {
-    const end = run.position;
-    const index = indexOf(run.target);
+    const logEnd = run.position;
+    const index = writePositionsIn(run.target);
     function isSeen(id: string): boolean {
       const position = index.get(id);
-      return position !== undefined && compareLogPositions(position, end) <= 0;
+      return (
+        position !== undefined && compareLogPositions(position, logEnd) <= 0
+      );
     }
     const missed = acknowledged.find(
-      commit => mustSee(request, commit) && !commit.writes.every(isSeen),
+      commit => mustObserve(request, commit) && !commit.writes.every(isSeen),
     );
     if (missed !== undefined) {
       report(
         'stale read',
-        `${run.id} at ${run.target} ${end.term}.${end.position} lacks ${missed.writes.join()}`,
+        `${run.id} at ${run.target} ${logEnd.term}.${logEnd.position} lacks ${missed.writes.join()}`,
       );
     }
   }
@@ -174,11 +180,11 @@
     if (request.transaction === undefined) {
       return;
     }
-    const place = `${run.target}/${run.connection}/${run.transaction}`;
-    const known = places.get(request.transaction) ?? place;
-    places.set(request.transaction, known);
-    if (known !== place) {
-      report('outside its transaction', `${run.id}: ${place}, not ${known}`);
+    const location = `${run.target}/${run.connection}/${run.transaction}`;
+    const known = transactionLocations.get(request.transaction) ?? location;
+    transactionLocations.set(request.transaction, known);
+    if (known !== location) {
+      report('outside its transaction', `${run.id}: ${location}, not ${known}`);
     }
   }
 
@@ -188,13 +194,14 @@
       report('wrong account', `${run.id}: ${run.user}, not ${account}`);
     }
     const isFirst =
-      request.transaction === undefined || !places.has(request.transaction);
+      request.transaction === undefined ||
+      !transactionLocations.has(request.transaction);
     if (account !== undefined && isFirst) {
       const known = operations.get(account) ?? [];
       known.push({sentAt: request.since, ranAt: run.at});
       operations.set(account, known);
     }
-    const limit = takenAwayAt.get(account ?? '') ?? Infinity;
+    const limit = revokedAt.get(account ?? '') ?? Infinity;
     if ((sentAt.get(run.id) ?? 0) > limit) {
       report('key taken away', `${run.id} of ${account}`);
     }
@@ -223,29 +230,29 @@
   }
 
   function onPromotion(promotion: PromotionRecord): void {
-    const held = idsOf(promotion.log);
+    const present = writeIdsOf(promotion.log);
     for (const {writes} of acknowledged) {
-      if (!writes.every(id => held.has(id))) {
+      if (!writes.every(id => present.has(id))) {
         report('commit lost', `${writes.join()} at ${promotion.target}`);
       }
     }
-    const holder = epochs.get(promotion.epoch) ?? promotion.holder;
-    epochs.set(promotion.epoch, holder);
+    const holder = promotersByEpoch.get(promotion.epoch) ?? promotion.holder;
+    promotersByEpoch.set(promotion.epoch, holder);
     if (holder !== promotion.holder) {
       report('epoch used twice', `${promotion.epoch}`);
     }
   }
 
-  const receipts = {read: 'r', write: 'w', commit: 'c'} as const;
+  const answerPrefixes = {read: 'r', write: 'w', commit: 'c'} as const;
 
   function onAnswer(request: SentRequest, answer: StatementAnswer): void {
     if (answer.error !== undefined) {
       return;
     }
-    const isWhole =
-      answer.receipt === `${receipts[request.kind]}-${request.id}` &&
+    const isExpected =
+      answer.receipt === `${answerPrefixes[request.kind]}-${request.id}` &&
       (request.kind !== 'read' || answer.rows[0] === `row of ${request.id}`);
-    if (!isWhole) {
+    if (!isExpected) {
       report('wrong answer', request.id);
     }
     const isCommit =
@@ -258,19 +265,21 @@
   }
 
   function finish(primary: StandInTarget | undefined): void {
-    const all = primary?.log().flatMap(({writes}) => writes) ?? [];
-    const held = new Set(all);
-    if (held.size !== all.length) {
-      const twice = all.filter((id, index) => all.indexOf(id) !== index);
+    const allWrites = primary?.log().flatMap(({writes}) => writes) ?? [];
+    const present = new Set(allWrites);
+    if (present.size !== allWrites.length) {
+      const twice = allWrites.filter(
+        (id, index) => allWrites.indexOf(id) !== index,
+      );
       report('written twice', twice.join());
     }
     for (const {writes} of acknowledged) {
-      if (!writes.every(id => held.has(id))) {
+      if (!writes.every(id => present.has(id))) {
         report('commit lost', `${writes.join()} in the end`);
       }
     }
-    for (const id of promised) {
-      if (held.has(id)) {
+    for (const id of reportedNotRun) {
+      if (present.has(id)) {
         report('refused but committed', id);
       }
     }
@@ -281,9 +290,9 @@
       sent.set(request.id, request);
       sentAt.set(request.id, timer.now());
     },
-    onKeysTakenAway: (account, from) => void takenAwayAt.set(account, from),
+    onKeysRevoked: (account, from) => void revokedAt.set(account, from),
     onAnswer,
-    onPromise: writes => writes.forEach(id => promised.add(id)),
+    onReportedNotRun: writes => writes.forEach(id => reportedNotRun.add(id)),
     onRun,
     onPromotion,
     finish,
@@ -293,8 +302,8 @@
   };
 }
 
-/** True if an error promises that nothing of the attempt is kept. */
-export function isPromise(answer: StatementAnswer): boolean {
+/** True if the answer's error states that nothing of the attempt was run. */
+export function isReportedNotRun(answer: StatementAnswer): boolean {
   const {error} = answer;
   return error !== undefined && STATEMENT_ERRORS[error.name].notRun;
 }
--- a/packages/scenarios/src/statements/session_callers.ts
+++ b/packages/scenarios/src/statements/session_callers.ts
@@ -1,4 +1,4 @@
-/** Callers with sessions, transactions and retries, in virtual time. */
+/** Callers that run single statements and transactions in sessions, in virtual time. */
 import type {ClientAccount} from '@kelpstep/accounts';
 import type {
   CallerConnection,
@@ -18,26 +18,30 @@
 import type {SessionStatement, StatementAnswer} from '@kelpstep/statements';
 
 import {type OperationCounts, createOperationLog} from './operation_counts';
-import {type RuleChecker, type SentRequest, isPromise} from './rule_checker';
+import {
+  type RuleChecker,
+  type SentRequest,
+  isReportedNotRun,
+} from './rule_checker';
 
-/** What callers are made of. */
+/** Options of `startSessionCallers`. */
 export interface SessionCallersOptions {
   readonly runtime: Runtime;
   readonly random: Random;
   readonly checker: RuleChecker;
   readonly routes: readonly CallerRoute[];
-  /** Whose keys the callers have, in turn; without any they have none. */
+  /** Accounts whose keys the callers use in turn; no keys by default. */
   readonly accounts?: readonly ClientAccount[];
   readonly sessions: number;
   /** Operations stop after this time. */
   readonly until: Milliseconds;
-  /** Connects to a proxy that runs; undefined if none does. */
+  /** Connects to a running proxy; false if no proxy runs. */
   connect(caller: CallerConnection): boolean;
 }
 
-/** Time after which a caller gives an answer up. */
-const ANSWER_TIMEOUT: Milliseconds = 2500;
-const LONGEST_PAUSE: Milliseconds = 120;
+/** Time after which a caller closes its session without an answer. */
+const ANSWER_TIMEOUT_MS: Milliseconds = 2500;
+const LONGEST_PAUSE_MS: Milliseconds = 120;
 const SHAPES = ['q1', 'q2'] as const;
 
 interface Session {
@@ -53,13 +57,13 @@
 
 type Outcome = StatementAnswer | undefined;
 
-/** Starts callers; gives the counts that they keep. */
+/** Starts callers and returns the counts of their operations. */
 export function startSessionCallers(
   options: SessionCallersOptions,
 ): OperationCounts {
   const {runtime, random, checker, routes, accounts = []} = options;
   const {timer} = runtime;
-  const {counts, note} = createOperationLog();
+  const {counts, record} = createOperationLog();
   let nextNumber = 1;
 
   function createSession(
@@ -90,7 +94,7 @@
     return options.connect(session.connection) ? session : undefined;
   }
 
-  function* ask(
+  function* sendStatement(
     session: Session,
     id: string,
     statement: SessionStatement,
@@ -99,17 +103,17 @@
     session.answer = answer => void result.settle(answer);
     const request = {id, statement};
     session.connection.messages.post({kind: 'request', request});
-    const answer = yield* waitAtMost(result.future, ANSWER_TIMEOUT);
+    const answer = yield* waitAtMost(result.future, ANSWER_TIMEOUT_MS);
     if (answer === undefined) {
       session.connection.close();
     }
     return answer;
   }
 
-  function sentRequest(
+  function createSentRequest(
     session: Session,
     kind: SentRequest['kind'],
-    part: Partial<SentRequest>,
+    fields: Partial<SentRequest>,
   ): SentRequest {
     const {number, route} = session;
     return {
@@ -124,37 +128,42 @@
       shape: undefined,
       transaction: undefined,
       writes: [],
-      ...part,
+      ...fields,
     };
   }
 
-  function* askChecked(
+  function* sendChecked(
     session: Session,
     request: SentRequest,
     statement: SessionStatement,
   ): Task<Outcome> {
     checker.onSent(request);
-    const answer = yield* ask(session, request.id, statement);
+    const answer = yield* sendStatement(session, request.id, statement);
     if (answer !== undefined) {
       checker.onAnswer(request, answer);
     }
     return answer;
   }
 
-  /** Sets a value or prepares a shape now and then. */
+  /** Sets a value or prepares a statement with a certain probability. */
   function* changeSettings(session: Session): Task<void> {
     if (random.fraction() < 0.3) {
       const name = random.pick(['a', 'b']);
       const value = random.hexadecimal(2);
       session.values.set(name, value);
-      yield* ask(session, 's', {kind: 'set', name, value});
+      yield* sendStatement(session, 's', {kind: 'set', name, value});
     }
     if (random.fraction() < 0.3) {
       const name = random.pick(['p', 'q']);
       const access = random.pick(['read', 'write'] as const);
       const shape = random.pick(SHAPES);
       session.prepared.set(name, `${access} ${shape}`);
-      yield* ask(session, 's', {kind: 'prepare', name, access, shape});
+      yield* sendStatement(session, 's', {
+        kind: 'prepare',
+        name,
+        access,
+        shape,
+      });
     }
   }
 
@@ -162,11 +171,11 @@
     session: Session,
     access: 'read' | 'write',
   ): {statement: SessionStatement; shape: string | undefined} {
-    const usable = [...session.prepared].filter(([, text]) =>
+    const matching = [...session.prepared].filter(([, text]) =>
       text.startsWith(access),
     );
-    if (usable.length > 0 && random.fraction() < 0.5) {
-      const [name, shape] = random.pick(usable);
+    if (matching.length > 0 && random.fraction() < 0.5) {
+      const [name, shape] = random.pick(matching);
       return {statement: {kind: 'execute', name, parameters: 'i'}, shape};
     }
     const statement: SessionStatement =
@@ -180,11 +189,11 @@
     const mayWrite = session.route.freshness !== 'bounded';
     const access = mayWrite && random.fraction() < 0.3 ? 'write' : 'read';
     const {statement, shape} = chooseStatement(session, access);
-    const request = sentRequest(session, access, {shape});
+    const request = createSentRequest(session, access, {shape});
     const writes = access === 'write' ? [request.id] : [];
-    const answer = yield* askChecked(session, {...request, writes}, statement);
-    if (answer !== undefined && isPromise(answer)) {
-      checker.onPromise(writes);
+    const answer = yield* sendChecked(session, {...request, writes}, statement);
+    if (answer !== undefined && isReportedNotRun(answer)) {
+      checker.onReportedNotRun(writes);
     }
     return answer;
   }
@@ -194,55 +203,58 @@
     const since = timer.now();
     const transaction = nextNumber++;
     const writes: string[] = [];
-    const begun = yield* ask(session, 'b', {kind: 'begin', readOnly});
-    if (begun === undefined || begun.error !== undefined) {
-      return begun;
+    const beginAnswer = yield* sendStatement(session, 'b', {
+      kind: 'begin',
+      readOnly,
+    });
+    if (beginAnswer === undefined || beginAnswer.error !== undefined) {
+      return beginAnswer;
     }
     for (let count = random.integer(1, 4); count > 0; count--) {
-      yield* sleep(LONGEST_PAUSE * random.fraction());
+      yield* sleep(LONGEST_PAUSE_MS * random.fraction());
       const access = !readOnly && random.fraction() < 0.5 ? 'write' : 'read';
       const {statement, shape} = chooseStatement(session, access);
-      const part = {since, transaction, shape};
-      const request = sentRequest(session, access, part);
+      const fields = {since, transaction, shape};
+      const request = createSentRequest(session, access, fields);
       if (access === 'write') {
         writes.push(request.id);
       }
-      const answer = yield* askChecked(session, request, statement);
+      const answer = yield* sendChecked(session, request, statement);
       if (answer === undefined || answer.error !== undefined) {
-        return endFailed(session, answer, writes);
+        return closeFailedTransaction(session, answer, writes);
       }
     }
     if (random.fraction() < 0.1) {
-      checker.onPromise(writes);
-      return yield* ask(session, 'r', {kind: 'rollback'});
+      checker.onReportedNotRun(writes);
+      return yield* sendStatement(session, 'r', {kind: 'rollback'});
     }
-    const part = {since, transaction, writes};
-    const commit = sentRequest(session, 'commit', part);
-    const answer = yield* askChecked(session, commit, {kind: 'commit'});
+    const fields = {since, transaction, writes};
+    const commit = createSentRequest(session, 'commit', fields);
+    const answer = yield* sendChecked(session, commit, {kind: 'commit'});
     return answer?.error === undefined
       ? answer
-      : endFailed(session, answer, writes);
+      : closeFailedTransaction(session, answer, writes);
   }
 
-  function endFailed(
+  function closeFailedTransaction(
     session: Session,
     answer: Outcome,
     writes: readonly string[],
   ): Outcome {
-    if (answer !== undefined && isPromise(answer)) {
-      checker.onPromise(writes);
+    if (answer !== undefined && isReportedNotRun(answer)) {
+      checker.onReportedNotRun(writes);
     }
     session.connection.close();
     return answer;
   }
 
-  function* live(
+  function* runCaller(
     route: CallerRoute,
     account: ClientAccount | undefined,
   ): Task<void> {
     let session: Session | undefined;
     while (timer.now() < options.until) {
-      yield* sleep(LONGEST_PAUSE * (0.2 + random.fraction()));
+      yield* sleep(LONGEST_PAUSE_MS * (0.2 + random.fraction()));
       if (session === undefined || session.isClosed) {
         session = createSession(route, account);
       }
@@ -259,7 +271,7 @@
       const outcome = isTransaction
         ? yield* runTransaction(session)
         : yield* runSingle(session);
-      note({
+      record({
         at,
         duration: timer.now() - at,
         account: account?.name,
@@ -273,7 +285,10 @@
   for (let number = 0; number < options.sessions; number++) {
     const route = routes[number % routes.length];
     if (route !== undefined) {
-      runtime.spawn('caller', live(route, accounts[number % accounts.length]));
+      runtime.spawn(
+        'caller',
+        runCaller(route, accounts[number % accounts.length]),
+      );
     }
   }
   return counts;
--- a/packages/scenarios/src/statements/statement_accounts.ts
+++ b/packages/scenarios/src/statements/statement_accounts.ts
@@ -1,7 +1,7 @@
-/** Client accounts of a statement world. */
+/** Client accounts of a statement simulation. */
 import type {ClientAccount, QuotaLimit} from '@kelpstep/accounts';
 
-/** So many accounts, each with one key and the same quota. */
+/** Creates accounts, each with one key and the same quota. */
 export function createAccounts(
   count: number,
   quota: QuotaLimit | undefined,
--- a/packages/scenarios/src/statements/statement_routes.ts
+++ b/packages/scenarios/src/statements/statement_routes.ts
@@ -1,12 +1,12 @@
-/** Routes and group of a statement world. */
+/** Routes and the configuration of a statement simulation. */
 import type {ClientAccount} from '@kelpstep/accounts';
 import type {CallerRoute, GatewayConfiguration} from '@kelpstep/gateway';
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Name of the one group. */
+/** Name of the only group. */
 export const GROUP = 'records';
 
-/** Routes of all three kinds of freshness. */
+/** One route for each kind of freshness. */
 export const ROUTES: readonly CallerRoute[] = [
   route('entries', 'primary', 0, 800),
   route('histories', 'bounded', 1500, 2000),
@@ -31,8 +31,8 @@
   };
 }
 
-/** A configuration with these routes. */
-export function configurationWith(
+/** Creates a configuration with `ROUTES` and one group. */
+export function createConfiguration(
   connectionLimit: number,
   accounts: readonly ClientAccount[] | undefined,
 ): GatewayConfiguration {
--- a/packages/scenarios/src/statements/statement_world.ts
+++ b/packages/scenarios/src/statements/statement_simulation.ts
@@ -1,4 +1,4 @@
-/** Proxies, a group, a store and callers together, in virtual time. */
+/** Simulates proxies, one group, the store and callers in virtual time. */
 import type {ClientAccount, QuotaTolerance} from '@kelpstep/accounts';
 import {
   type CallerConnection,
@@ -35,41 +35,44 @@
 import type {TargetRegistration} from '@kelpstep/targets';
 
 import {type RuleChecker, createRuleChecker} from './rule_checker';
-import {GROUP, ROUTES, configurationWith} from './statement_routes';
+import {GROUP, ROUTES, createConfiguration} from './statement_routes';
 import type {OperationCounts} from './operation_counts';
-import {SILENT_EVENTS, readStatus} from './proxy_edges';
+import {IGNORED_EVENTS, readStatus} from './proxy_stubs';
 import {startSessionCallers} from './session_callers';
 
-/** Size and pace of a world; the figures are those of a small deployment. */
-export interface StatementWorldOptions {
+/** Size and timing of a simulation; the defaults describe a small deployment. */
+export interface StatementSimulationOptions {
   readonly seed: number;
   readonly proxies?: number;
   readonly sessions?: number;
-  /** Callers stop after this time. */
+  /** Time after which callers stop. */
   readonly duration: Milliseconds;
   readonly promotionTime?: Milliseconds;
-  /** Connections that a target accepts. */
+  /** Maximum number of connections that a target accepts. */
   readonly connectionLimit?: number;
-  /** Statements that a target runs at a time. */
+  /** Number of statements that a target runs concurrently. */
   readonly slots?: number;
-  /** Accounts of the callers; none by default, so that nobody has a key. */
+  /** Accounts of the callers; by default there are none and no key is used. */
   readonly accounts?: readonly ClientAccount[];
   readonly quotaTolerance?: QuotaTolerance;
-  /** Without proof of the configuration keys are trusted for no longer. */
+  /**
+   * Time for which a proxy accepts keys without confirmation that its
+   * configuration is current; unlimited by default.
+   */
   readonly revocation?: Milliseconds;
-  /** Time of a target's slot that a new connection takes; none by default. */
+  /** Time for which a new connection occupies a slot of its target; 0 by default. */
   readonly openingTime?: Milliseconds;
-  /** False: proxies send no statements through each other. */
+  /** False if proxies do not relay statements to each other. */
   readonly relays?: boolean;
 }
 
-/** Everything that a test may act on. */
-export interface StatementWorld {
+/** A running simulation. Tests inject faults and read results through it. */
+export interface StatementSimulation {
   readonly timer: VirtualTimer;
   readonly random: Random;
-  /** Between proxies and targets, and among targets. */
+  /** Network between proxies and targets, and among targets. */
   readonly network: LinkNetwork;
-  /** Among proxies. */
+  /** Network among proxies. */
   readonly relays: FakeNetwork;
   readonly group: StandInGroup;
   readonly store: StandInStore;
@@ -78,22 +81,26 @@
   readonly proxies: readonly string[];
   gateway(proxy: string): Gateway | undefined;
   killProxy(proxy: string): void;
-  /** Targets hold its connections for seconds, as nothing ends them. */
+  /**
+   * Stops a proxy without closing its connections. Targets keep them open until
+   * they detect the loss.
+   */
   cutPower(proxy: string): void;
-  /** Where a running proxy stands in the network; each life has its own. */
-  placeOf(proxy: string): string;
+  /** Network endpoint of a proxy; each incarnation has its own. */
+  endpointOf(proxy: string): string;
   startProxy(proxy: string): void;
-  /** A proxy's host in the network among proxies. */
+  /** Host of a proxy in the network among proxies. */
   hostOf(proxy: string): string;
-  /** Puts a changed configuration in the store. */
+  /** Stores a changed configuration under the next version. */
   configure(change: Partial<GatewayConfiguration>): void;
   setLeaving(target: string, leaving: boolean): void;
-  /** Share of promotions that are carried out late and not answered. */
-  lateOrders: number;
-  /** The same for orders to targets. */
-  lateTargetOrders: number;
-  lostAnswers: number;
-  /** Runs until the callers have stopped and all is quiet, then judges. */
+  /** Share of promotions that are carried out late and not answered, from 0 to 1. */
+  latePromotionShare: number;
+  /** Share of commands to targets that are carried out late, from 0 to 1. */
+  lateTargetCommandShare: number;
+  /** Share of answers from targets that are lost, from 0 to 1. */
+  lostAnswerShare: number;
+  /** Runs until callers have stopped and work has settled, then checks the rules. */
   finish(): void;
 }
 
@@ -103,44 +110,43 @@
   close(): void;
 }
 
-/** One way, within a region and between two. */
-const NEAR_DELAY: Milliseconds = 0.5;
-const FAR_DELAY: Milliseconds = 6;
+/** One-way delays within a region and between regions. */
+const LOCAL_DELAY_MS: Milliseconds = 0.5;
+const REMOTE_DELAY_MS: Milliseconds = 6;
 const RELAY_PORT = 7000;
 const FEED_PORT = 7001;
-/** Keeps the network's chance apart from the seeds of worlds. */
-const RELAY_SEED = 2_000_000;
-const CONNECTION_LIMIT = 40;
-const SLOTS = 3;
-/** How long a target holds a connection whose other end has no power. */
-const LINGER_TIME: Milliseconds = 3000;
+/** Added to the seed, so that the network among proxies has its own random sequence. */
+const RELAY_SEED_OFFSET = 2_000_000;
+const DEFAULT_CONNECTION_LIMIT = 40;
+const DEFAULT_SLOT_COUNT = 3;
+/** Time for which a target keeps a connection whose other end lost power. */
+const LINGER_TIME_MS: Milliseconds = 3000;
 const TARGETS = ['target-1', 'target-2', 'target-3'] as const;
 const CONFIGURATION_TABLE = 'configuration';
 const REGISTRATION_TABLE = 'registrations';
 const SUCCESSION_TABLE = 'successions';
 const DISTRIBUTOR_TABLE = 'distributors';
-const TABLE_DELAYS = {configuration: 3000, registrations: 7000};
-/** A stopped target's entry goes after three missed heartbeats. */
-const ENTRY_LIFETIME: Milliseconds = 3600;
-const REGISTRATION_PERIOD: Milliseconds = 100;
-const QUIET_TIME: Milliseconds = 4000;
-const EARLIEST_LATE_ORDER: Milliseconds = 1000;
-const LATEST_ORDER: Milliseconds = 5000;
-const ORDER_TIMEOUT: Milliseconds = 2500;
+const STALENESS_BOUNDS = {configuration: 3000, registrations: 7000};
+/** The entry of a stopped target is removed after three missed heartbeats. */
+const ENTRY_LIFETIME_MS: Milliseconds = 3600;
+const REGISTRATION_PERIOD_MS: Milliseconds = 100;
+const QUIESCENCE_TIME_MS: Milliseconds = 4000;
+const MINIMUM_TARGET_COMMAND_DELAY_MS: Milliseconds = 1000;
+const COMMAND_DELAY_SPAN_MS: Milliseconds = 5000;
+const PROMOTION_TIMEOUT_MS: Milliseconds = 2500;
 
-/** Creates a world in which callers already run. */
-export function createStatementWorld(
-  options: StatementWorldOptions,
-): StatementWorld {
+/** Creates a simulation whose proxies and callers are running. */
+export function createStatementSimulation(
+  options: StatementSimulationOptions,
+): StatementSimulation {
   const timer = createVirtualTimer();
   const random = createRandom(options.seed);
-  const connectionLimit = options.connectionLimit ?? CONNECTION_LIMIT;
-  const slots = options.slots ?? SLOTS;
+  const connectionLimit = options.connectionLimit ?? DEFAULT_CONNECTION_LIMIT;
+  const slots = options.slots ?? DEFAULT_SLOT_COUNT;
   const network = createLinkNetwork(timer, delayBetween);
-  /** Carries what proxies send each other. */
   const relays = createFakeNetwork({
     timer,
-    random: createRandom(options.seed + RELAY_SEED),
+    random: createRandom(options.seed + RELAY_SEED_OFFSET),
     latency: delayBetween,
   });
   const store = createStandInStore({
@@ -163,11 +169,12 @@
     promotionTime: options.promotionTime ?? 300,
     applyDelay: () => 4 + 20 * faultRandom.fraction(),
     orderDelay: () =>
-      world.lateTargetOrders > 0 &&
-      faultRandom.fraction() < world.lateTargetOrders
-        ? EARLIEST_LATE_ORDER + LATEST_ORDER * faultRandom.fraction()
+      simulation.lateTargetCommandShare > 0 &&
+      faultRandom.fraction() < simulation.lateTargetCommandShare
+        ? MINIMUM_TARGET_COMMAND_DELAY_MS +
+          COMMAND_DELAY_SPAN_MS * faultRandom.fraction()
         : 0,
-    losesAnswer: () => faultRandom.fraction() < world.lostAnswers,
+    losesAnswer: () => faultRandom.fraction() < simulation.lostAnswerShare,
   });
   const proxies = Array.from(
     {length: options.proxies ?? 4},
@@ -175,29 +182,30 @@
   );
   const running = new Map<string, RunningProxy>();
   const leaving = new Set<string>();
-  const lives = new Map<string, number>();
+  const incarnations = new Map<string, number>();
   const stoppedAt = new Map<string, Milliseconds>();
 
-  const placeNumber = (name: string) => Number(/\d+$/.exec(name)?.[0]);
+  const trailingNumber = (name: string) => Number(/\d+$/.exec(name)?.[0]);
   const dataCentreOf = (proxy: string) =>
-    `centre-${placeNumber(proxy) % TARGETS.length}`;
-  const hostOf = (proxy: string) => `10.0.0.${placeNumber(proxy)}`;
+    `centre-${trailingNumber(proxy) % TARGETS.length}`;
+  const hostOf = (proxy: string) => `10.0.0.${trailingNumber(proxy)}`;
   const feedAddressOf = (proxy: string) => `${hostOf(proxy)}:${FEED_PORT}`;
   const relayAddressOf = (proxy: string) =>
     options.relays === false ? '' : `${hostOf(proxy)}:${RELAY_PORT}`;
 
   function delayBetween(from: string, to: string): Milliseconds {
     const isNear =
-      placeNumber(from) % TARGETS.length === placeNumber(to) % TARGETS.length;
-    return isNear ? NEAR_DELAY : FAR_DELAY;
+      trailingNumber(from) % TARGETS.length ===
+      trailingNumber(to) % TARGETS.length;
+    return isNear ? LOCAL_DELAY_MS : REMOTE_DELAY_MS;
   }
 
   const orderPromotion: OrderPromotion = ({target, epoch, holder}) => {
     const result = createDeferred<PromotionReply>();
-    if (faultRandom.fraction() < world.lateOrders) {
-      const delay = LATEST_ORDER * faultRandom.fraction();
+    if (faultRandom.fraction() < simulation.latePromotionShare) {
+      const delay = COMMAND_DELAY_SPAN_MS * faultRandom.fraction();
       timer.after(delay, () => group.promote(target, epoch, holder));
-      timer.after(ORDER_TIMEOUT, () => result.settle('unanswered'));
+      timer.after(PROMOTION_TIMEOUT_MS, () => result.settle('unanswered'));
     } else {
       timer.after(4, () => {
         const isTaken = group.promote(target, epoch, holder);
@@ -207,13 +215,13 @@
     return result.future;
   };
 
-  function placeOf(proxy: string): string {
-    return `life ${lives.get(proxy) ?? 0} of ${proxy}`;
+  function endpointOf(proxy: string): string {
+    return `incarnation ${incarnations.get(proxy) ?? 0} of ${proxy}`;
   }
 
   function startProxy(proxy: string): void {
-    lives.set(proxy, (lives.get(proxy) ?? 0) + 1);
-    const place = placeOf(proxy);
+    incarnations.set(proxy, (incarnations.get(proxy) ?? 0) + 1);
+    const endpoint = endpointOf(proxy);
     const runtime = createRuntime({timer, random: random.split()});
     const {gateway, close} = createStatementProxy({
       runtime,
@@ -227,7 +235,7 @@
       transport: relays.transportFor(hostOf(proxy)),
       capacity: 1,
       store: store.clientOf(proxy),
-      delays: {...TABLE_DELAYS, revocation: options.revocation},
+      delays: {...STALENESS_BOUNDS, revocation: options.revocation},
       quotaTolerance: options.quotaTolerance,
       layout: {
         configurationTable: CONFIGURATION_TABLE,
@@ -249,7 +257,7 @@
         }),
       },
       open: (address, user, timeout, firstRequests) =>
-        group.open(place, address, user, timeout, firstRequests),
+        group.open(endpoint, address, user, timeout, firstRequests),
       readStatus,
       orderPromotion,
       policies: {
@@ -257,7 +265,7 @@
         createConcurrencyLimit: createAdaptiveLimit,
         retryAfter: spreadRetryAfter,
       },
-      events: SILENT_EVENTS,
+      events: IGNORED_EVENTS,
       seeds: proxies.map(feedAddressOf),
     });
     running.set(proxy, {gateway, runtime, close});
@@ -272,11 +280,11 @@
   }
 
   function cutPower(proxy: string): void {
-    const place = placeOf(proxy);
-    TARGETS.forEach(target => network.cut(place, target));
+    const endpoint = endpointOf(proxy);
+    TARGETS.forEach(target => network.cut(endpoint, target));
     killProxy(proxy);
-    timer.after(LINGER_TIME, () =>
-      TARGETS.forEach(target => network.heal(place, target)),
+    timer.after(LINGER_TIME_MS, () =>
+      TARGETS.forEach(target => network.heal(endpoint, target)),
     );
   }
 
@@ -289,7 +297,7 @@
         putEntry(name, target.role());
       } else if (since === undefined) {
         stoppedAt.set(name, timer.now());
-      } else if (timer.now() - since > ENTRY_LIFETIME) {
+      } else if (timer.now() - since > ENTRY_LIFETIME_MS) {
         entries.delete(name);
         store.remove(REGISTRATION_TABLE, name);
       }
@@ -324,10 +332,10 @@
     return true;
   }
 
-  let configuration = configurationWith(connectionLimit, options.accounts);
+  let configuration = createConfiguration(connectionLimit, options.accounts);
   store.put(CONFIGURATION_TABLE, 'current', configuration);
   register();
-  timer.every(REGISTRATION_PERIOD, register);
+  timer.every(REGISTRATION_PERIOD_MS, register);
   proxies.forEach(startProxy);
   const callerRuntime = createRuntime({timer, random: random.split()});
   const counts = startSessionCallers({
@@ -341,7 +349,7 @@
     connect,
   });
 
-  const world: StatementWorld = {
+  const simulation: StatementSimulation = {
     timer,
     random,
     network,
@@ -351,22 +359,22 @@
     checker,
     counts,
     proxies,
-    lateOrders: 0,
-    lateTargetOrders: 0,
-    lostAnswers: 0,
+    latePromotionShare: 0,
+    lateTargetCommandShare: 0,
+    lostAnswerShare: 0,
     gateway: proxy => running.get(proxy)?.gateway,
     killProxy,
     cutPower,
-    placeOf,
+    endpointOf,
     startProxy,
     hostOf,
     configure(change) {
       const version = configuration.version + 1;
       configuration = {...configuration, ...change, version};
-      const inForceAt = timer.now() + TABLE_DELAYS.configuration;
+      const inForceAt = timer.now() + STALENESS_BOUNDS.configuration;
       for (const {name, keyDigests} of change.accounts ?? []) {
         if (keyDigests.length === 0) {
-          checker.onKeysTakenAway(name, inForceAt);
+          checker.onKeysRevoked(name, inForceAt);
         }
       }
       store.put(CONFIGURATION_TABLE, 'current', configuration);
@@ -379,10 +387,10 @@
       }
     },
     finish() {
-      const rest = options.duration - timer.now() + QUIET_TIME;
-      timer.advance(Math.max(0, rest));
+      const remaining = options.duration - timer.now() + QUIESCENCE_TIME_MS;
+      timer.advance(Math.max(0, remaining));
       checker.finish(group.primary());
     },
   };
-  return world;
+  return simulation;
 }
