--- a/packages/scenarios/src/processes/clock.ts
+++ b/packages/scenarios/src/processes/clock.ts
@@ -1,5 +1,5 @@
-/** The clock of tests and measurements on processes. */
+/** Clock for tests and measurements that run real processes. */
 import {createRealTimer} from '@kelpstep/runtime';
 
-/** Real time. */
+/** Timer service that uses the system clock. */
 export const realClock = createRealTimer();
--- a/packages/scenarios/src/processes/direct_target.ts
+++ b/packages/scenarios/src/processes/direct_target.ts
@@ -1,4 +1,4 @@
-/** Connections to a target that by-pass the proxies, for tests. */
+/** Connections from tests to a target that bypass the proxies. */
 import {Method, TargetStatus, targetStatus} from '@kelpstep/protocol';
 import {
   RequestFailure,
@@ -11,31 +11,33 @@
 
 import {realClock} from './clock';
 
-const TIMEOUT = 2000;
+const DEFAULT_TIMEOUT_MS = 2000;
 
-/** Connects to a target; undefined if it doesn't accept. */
+/** Connects to a target; undefined if it does not accept the connection. */
 export async function connectToTarget(
   address: string,
 ): Promise<RpcPeer | undefined> {
-  const dialled = await promiseFromFuture(
-    createTcpTransport().dial(address, TIMEOUT),
+  const dialResult = await promiseFromFuture(
+    createTcpTransport().dial(address, DEFAULT_TIMEOUT_MS),
   );
-  return dialled.ok
-    ? createRpcPeer({connection: dialled.val, timer: realClock})
+  return dialResult.ok
+    ? createRpcPeer({connection: dialResult.val, timer: realClock})
     : undefined;
 }
 
-/** Sends a request over a connection. */
+/** Sends a request over a connection; `timeout` is in milliseconds. */
 export function requestTarget<P, R>(
   peer: RpcPeer,
   method: Method<P, R>,
   parameters: P,
-  timeout = TIMEOUT,
+  timeout = DEFAULT_TIMEOUT_MS,
 ): Promise<Result<R, RequestFailure>> {
   return promiseFromFuture(peer.request(method, parameters, timeout));
 }
 
-/** A target's status over a connection of its own; undefined without one. */
+/**
+ * Probes a target's status over a new connection; undefined if the probe fails.
+ */
 export async function askTarget(
   address: string,
 ): Promise<TargetStatus | undefined> {
@@ -44,6 +46,6 @@
     return undefined;
   }
   const reply = await requestTarget(peer, targetStatus, {});
-  peer.close('asked');
+  peer.close('status probed');
   return reply.ok ? reply.val : undefined;
 }
--- a/packages/scenarios/src/processes/process_cluster.ts
+++ b/packages/scenarios/src/processes/process_cluster.ts
@@ -1,4 +1,4 @@
-/** One group of databases, the platform and proxies, all as processes. */
+/** Runs one group of databases, the platform and proxies as processes. */
 import {HttpClient, createHttpClient} from '@kelpstep/cli';
 import type {TargetStatus} from '@kelpstep/protocol';
 import {ProxyStatus, manifestCommit, proxyStatus} from '@kelpstep/proxy';
@@ -13,47 +13,54 @@
   StandInProcess,
 } from './process_table';
 
-/** The group of every process cluster. */
+/** Name of the group in every process cluster. */
 export const PROCESS_GROUP = 'logbook';
 
-/** What to start. */
+/** Options of `startProcessCluster`. */
 export interface ProcessClusterOptions {
   /** Names of the proxies. */
   readonly proxies: readonly string[];
   readonly slots: number;
   readonly connectionLimit: number;
-  /** Options of the database stand-ins, as on a command line. */
+  /** Additional command-line options of the database stand-ins. */
   readonly databaseOptions?: readonly string[];
+  /** Time for which a stopping proxy still accepts requests, milliseconds. */
   readonly acceptTime?: number;
 }
 
-/** A primary, as a proxy knows it. */
+/** Member id and term of a primary, as reported by a proxy or the members. */
 export interface KnownPrimary {
   readonly id: string;
   readonly term: number;
 }
 
-/** Processes that serve one group. */
+/** The processes that serve one group. */
 export interface ProcessCluster {
   readonly members: readonly string[];
   readonly plans: readonly ProxyPlan[];
-  /** Proxies that were started last, by name. */
+  /** The most recently started process of each proxy, by name. */
   readonly proxies: ReadonlyMap<string, ProxyProcess>;
   database(id: string): StandInProcess;
   platform(): StandInProcess;
   /** Callers' addresses of all proxies. */
   callerAddresses(): string[];
-  /** Starts a database anew and empty, at its address. */
+  /** Starts an empty database at the address of the previous one. */
   restartDatabase(id: string): Promise<void>;
   restartPlatform(): Promise<void>;
   startProxy(name: string): Promise<void>;
-  /** What a proxy tells of itself; undefined if it doesn't answer. */
+  /** Status that a proxy reports; undefined if it does not answer. */
   status(proxy: string): Promise<ProxyStatus | undefined>;
-  /** The primary, once the proxy knows one other than `previous`. */
+  /**
+   * Waits until the proxy knows a primary other than `previous`, and returns
+   * it.
+   */
   untilPrimary(proxy: string, previous?: KnownPrimary): Promise<KnownPrimary>;
-  /** Waits until all members follow one primary at one term's end. */
+  /**
+   * Waits until one member is primary, all others follow it and the logs of all
+   * members end in the same term.
+   */
   untilWhole(): Promise<KnownPrimary>;
-  /** Commits the manifest; members in `leaving` are called leaving. */
+  /** Commits the manifest with the members in `leaving` in state `leaving`. */
   commit(
     proxy: string,
     expectedVersion: number,
@@ -62,13 +69,16 @@
   untilInForce(proxy: string, version: number): Promise<void>;
 }
 
-const STATUS_TIMEOUT = 2000;
-const COMMIT_TIMEOUT = 20_000;
-const DEFAULT_ACCEPT_TIME = 100;
-const DRAIN_TIME = 10_000;
+const STATUS_TIMEOUT_MS = 2000;
+const COMMIT_TIMEOUT_MS = 20_000;
+const DEFAULT_ACCEPT_TIME_MS = 100;
+const DRAIN_TIME_MS = 10_000;
 const MEMBERS = ['logbook-1', 'logbook-2', 'logbook-3'];
 
-function operators({operators: address}: ProxyPlan, timeout: number) {
+function createOperatorClient(
+  {operators: address}: ProxyPlan,
+  timeout: number,
+) {
   return createHttpClient({address, token: OPERATOR_TOKEN, timeout});
 }
 
@@ -82,8 +92,10 @@
   return leadership && {id: leadership.primary, term: leadership.term};
 }
 
-/** True if all members are at the end of the log that one of them leads. */
-function areWhole(statuses: readonly (TargetStatus | undefined)[]): boolean {
+/** True if all members follow one primary and their logs end in its term. */
+function areConverged(
+  statuses: readonly (TargetStatus | undefined)[],
+): boolean {
   const [first] = statuses;
   const primaries = statuses.filter(status => status?.role === 'primary');
   return (
@@ -152,8 +164,8 @@
       groups: [{name: PROCESS_GROUP, readStaleness: 3000, members}],
       kinds: [{name: 'entry', worth: 10, deadline: 5000}],
       stop: {
-        acceptTime: options.acceptTime ?? DEFAULT_ACCEPT_TIME,
-        drainTime: DRAIN_TIME,
+        acceptTime: options.acceptTime ?? DEFAULT_ACCEPT_TIME_MS,
+        drainTime: DRAIN_TIME_MS,
       },
     });
   }
@@ -163,7 +175,7 @@
     expectedVersion: number,
     leaving: readonly string[] = [],
   ): Promise<void> {
-    const client = operators(plan(proxy), COMMIT_TIMEOUT);
+    const client = createOperatorClient(plan(proxy), COMMIT_TIMEOUT_MS);
     const committed = await client.request(manifestCommit, {
       body: manifest(leaving),
       fileName: 'logbook.yaml',
@@ -175,7 +187,7 @@
   }
 
   function status(proxy: string): Promise<ProxyStatus | undefined> {
-    return statusOf(operators(plan(proxy), STATUS_TIMEOUT));
+    return statusOf(createOperatorClient(plan(proxy), STATUS_TIMEOUT_MS));
   }
 
   async function untilInForce(proxy: string, version: number): Promise<void> {
@@ -193,13 +205,13 @@
     });
   }
 
-  function untilWhole(): Promise<KnownPrimary> {
-    return eventually('a group whose members all follow', async () => {
+  function untilConverged(): Promise<KnownPrimary> {
+    return eventually('all members to follow one primary', async () => {
       const statuses = await Promise.all(
         MEMBERS.map(id => askTarget(database(id).address)),
       );
       const primary = statuses.find(each => each?.role === 'primary');
-      return primary !== undefined && areWhole(statuses)
+      return primary !== undefined && areConverged(statuses)
         ? {id: primary.target, term: primary.term}
         : undefined;
     });
@@ -231,7 +243,7 @@
     startProxy,
     status,
     untilPrimary,
-    untilWhole,
+    untilWhole: untilConverged,
     commit,
     untilInForce,
   };
--- a/packages/scenarios/src/processes/process_table.ts
+++ b/packages/scenarios/src/processes/process_table.ts
@@ -1,4 +1,4 @@
-/** Stand-ins and proxies as processes of their own, on loopback. */
+/** Starts stand-ins and proxies as child processes on loopback addresses. */
 import {ChildProcess, spawn} from 'node:child_process';
 import {once} from 'node:events';
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
@@ -8,80 +8,86 @@
 
 import {eventually} from './eventually';
 
-/** A process that was started here. */
+/** A child process. */
 export interface StartedProcess {
   readonly child: ChildProcess;
-  /** Resolves with the exit code, or null after a signal's death. */
+  /**
+   * Resolves with the exit code, or with null if a signal ended the process.
+   */
   readonly exited: Promise<number | null>;
 }
 
-/** A stand-in with the address that it listens on. */
+/** A stand-in process with the address on which it listens. */
 export interface StandInProcess extends StartedProcess {
   readonly address: string;
 }
 
-/** A proxy that can be started, again too, at the same addresses. */
+/**
+ * Addresses and settings of a proxy; it can be restarted with the same plan.
+ */
 export interface ProxyPlan {
   readonly name: string;
   readonly callers: string;
   readonly peers: string;
   readonly operators: string;
-  /** Path of its settings. */
+  /** Path of the settings file. */
   readonly settings: string;
 }
 
-/** A proxy with its ports. */
+/** A proxy process with its addresses. */
 export interface ProxyProcess extends StartedProcess, ProxyPlan {}
 
-/** Processes of one test or measurement. */
+/** The child processes of one test or measurement. */
 export interface ProcessTable {
-  /** An address that nothing else uses. */
+  /** Returns an unused loopback address, `IP:PORT`. */
   newAddress(): string;
-  /** Starts a stand-in, at a new address unless one is given. */
+  /**
+   * Starts a stand-in at a given or a new address and waits until it listens.
+   */
   startStandIn(
     parameters: readonly string[],
     address?: string,
   ): Promise<StandInProcess>;
-  /** Writes the settings of proxies that know each other. */
+  /** Writes the settings of proxies; each has the others as seeds. */
   planProxies(names: readonly string[], platform: string): ProxyPlan[];
-  /** Starts a proxy and waits until it serves operators. */
+  /** Starts a proxy and waits until its operator endpoint is healthy. */
   startProxy(plan: ProxyPlan): Promise<ProxyProcess>;
   /** Plans and starts proxies. */
   startProxies(
     names: readonly string[],
     platform: string,
   ): Promise<ProxyProcess[]>;
-  /** Ends all that still run and removes their files. */
+  /** Kills all processes that are still running and removes their files. */
   end(): Promise<void>;
 }
 
-/** Token of the operators in the settings of planned proxies. */
+/** Operator token in the settings of planned proxies. */
 export const OPERATOR_TOKEN = 'token-of-the-operators';
 
-const CLI = 'packages/cli/src/main.ts';
-const STAND_IN = 'packages/stand-ins/src/main.ts';
+const CLI_SCRIPT = 'packages/cli/src/main.ts';
+const STAND_IN_SCRIPT = 'packages/stand-ins/src/main.ts';
 const FIRST_PORT = 7000;
 const DATA_CENTRE = 'lima';
 
 let nextPort = FIRST_PORT;
 
-/** Waits, though not for ever, until a process has ended. */
+/** Waits until a process has exited; rejects after a minute. */
 export function untilExited({child}: StartedProcess): Promise<{
   readonly code: number | null;
   readonly signal: string | null;
 }> {
-  return eventually(`the end of process ${child.pid}`, async () => {
+  return eventually(`process ${child.pid} to exit`, async () => {
     const {exitCode: code, signalCode: signal} = child;
     return code === null && signal === null ? undefined : {code, signal};
   });
 }
 
 /**
- * An IP of the loopback network for this process alone. Outgoing connections
- * use 127.0.0.1, so none of them can take a port that a stopped process will
- * listen on again.
+ * A loopback IP derived from the id of this process. Outgoing connections use
+ * 127.0.0.1, so they cannot occupy a port on which a restarted process has to
+ * listen again.
  */
-function ownHost(): string {
+function processHost(): string {
   const {pid} = process;
   return `127.${1 + ((pid >> 16) & 0x7f)}.${(pid >> 8) & 0xff}.${pid & 0xff}`;
 }
@@ -101,7 +107,7 @@
   const started: StartedProcess[] = [];
 
   function newAddress(): string {
-    return `${ownHost()}:${nextPort++}`;
+    return `${processHost()}:${nextPort++}`;
   }
 
   function start(script: string, parameters: readonly string[]) {
@@ -120,9 +126,9 @@
     parameters: readonly string[],
     address = newAddress(),
   ): Promise<StandInProcess> {
-    const entry = start(STAND_IN, [...parameters, '--address', address]);
+    const entry = start(STAND_IN_SCRIPT, [...parameters, '--address', address]);
     if (entry.child.stdout === null) {
-      throw new Error('No output that says that it listens.');
+      throw new Error(`Stand-in for ${address} has no standard output.`);
     }
     await once(createInterface(entry.child.stdout), 'line');
     return {...entry, address};
@@ -153,8 +159,10 @@
   }
 
   async function startProxy(plan: ProxyPlan): Promise<ProxyProcess> {
-    const entry = start(CLI, ['proxy', '--settings', plan.settings]);
-    await eventually('a proxy that serves', () => isServing(plan.operators));
+    const entry = start(CLI_SCRIPT, ['proxy', '--settings', plan.settings]);
+    await eventually(`${plan.name} to be healthy`, () =>
+      isServing(plan.operators),
+    );
     return {...entry, ...plan};
   }
 
--- a/packages/scenarios/src/processes/session_caller.ts
+++ b/packages/scenarios/src/processes/session_caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller of proxies that run as processes: it keeps its session's token,
- * sends again with the same key and goes to another proxy each time.
+ * Caller of proxies that run as processes. It keeps the session token, retries
+ * with the same idempotency key and uses another proxy for each attempt.
  */
 import {createHttpClient} from '@kelpstep/cli';
 import {
@@ -19,73 +19,79 @@
 
 /** Sends requests of one session. */
 export interface SessionCaller {
-  /** Sends one request to one proxy, once. */
+  /** Sends a request to one proxy without a retry. */
   sendOnce<P extends object, R>(
     address: string,
     method: Method<P, R>,
     parameters: Omit<P, 'group' | 'token' | 'deadline'>,
   ): Promise<Result<R, Failure>>;
-  /** Sends a request until it is confirmed; rejects if it has no chance. */
+  /**
+   * Sends a request until it is confirmed. Rejects after an error that cannot
+   * be retried, or after a minute.
+   */
   send<P extends object, R>(
     method: Method<P, R>,
     parameters: Omit<P, 'group' | 'token' | 'deadline'>,
   ): Promise<R>;
-  /** Appends to a list, once however often it has to be sent. */
+  /** Appends to a list exactly once, with as many attempts as it takes. */
   append(list: string, entry: string): Promise<void>;
-  /** Reads a list, with all that this session wrote. */
+  /** Reads a list, including everything that this session wrote. */
   list(list: string): Promise<string[]>;
-  /** Failures met so far. */
+  /** Failures of all attempts so far. */
   failures(): readonly Failure[];
 }
 
-/** What a caller is made of. */
+/** Options of `createSessionCaller`. */
 export interface SessionCallerOptions {
   readonly group: string;
-  /** Callers' addresses of the proxies that the balancer offers. */
+  /** Caller addresses of the proxies that the load balancer offers. */
   proxies(): readonly string[];
   /** Time for one attempt, milliseconds. */
   readonly attemptTime?: number | undefined;
 }
 
-const DEFAULT_ATTEMPT_TIME = 3000;
-/** The proxy's own answer at the deadline is better than a lost one. */
-const ANSWER_MARGIN = 500;
-const RETRY_PAUSE = 20;
-/** Longer than a proxy goes on refusing before its port closes. */
-const AVOIDANCE_TIME = 2000;
-const LONGEST_PERSISTENCE = 60_000;
+const DEFAULT_ATTEMPT_TIME_MS = 3000;
+/**
+ * Added to the request timeout, so that an answer at the deadline still
+ * arrives.
+ */
+const ANSWER_MARGIN_MS = 500;
+const RETRY_BACKOFF_MS = 20;
+/** Longer than a stopping proxy refuses requests before it closes its port. */
+const AVOIDANCE_TIME_MS = 2000;
+const SEND_TIMEOUT_MS = 60_000;
 
-/** A key that nobody else has. */
+/** Creates a unique idempotency key. */
 export function newKey(): IdempotencyKey {
   return {id: randomUUID(), issuedAt: realClock.wallClock()};
 }
 
-/** The statement that appends to a list. */
+/** Creates the statement that appends an entry to a list. */
 export function appendStatement(list: string, entry: string): Statement {
   return {text: 'append ? ?', parameters: [list, entry]};
 }
 
-function mayBeSentAgain(failure: Failure): boolean {
+function isRetryable(failure: Failure): boolean {
   return ERRORS[failure.name].retryable || failure.outcome === 'unknown';
 }
 
-/** Creates the caller of a new session. */
+/** Creates a caller with a new session. */
 export function createSessionCaller(
   options: SessionCallerOptions,
 ): SessionCaller {
-  const attemptTime = options.attemptTime ?? DEFAULT_ATTEMPT_TIME;
+  const attemptTime = options.attemptTime ?? DEFAULT_ATTEMPT_TIME_MS;
   const failures: Failure[] = [];
   const avoidedUntil = new Map<string, number>();
   let token = '';
-  let turn = 0;
+  let nextIndex = 0;
 
   async function sendOnce<P extends object, R>(
     address: string,
     method: Method<P, R>,
     parameters: Omit<P, 'group' | 'token' | 'deadline'>,
   ): Promise<Result<R, Failure>> {
-    const timeout = attemptTime + ANSWER_MARGIN;
-    const full = {
+    const timeout = attemptTime + ANSWER_MARGIN_MS;
+    const fullParameters = {
       ...parameters,
       group: options.group,
       token,
@@ -93,22 +99,22 @@
     } as unknown as P;
     const reply = await createHttpClient({address, timeout}).request(
       method,
-      full,
+      fullParameters,
     );
     if (reply.ok) {
       const answer = reply.val as {token?: string};
       token = answer.token ?? token;
     } else {
       failures.push(reply.val);
-      noteRefusal(address, reply.val);
+      avoidStoppingProxy(address, reply.val);
     }
     return reply;
   }
 
-  /** A proxy that stops asks its callers to use another. */
-  function noteRefusal(address: string, {name}: Failure): void {
+  /** Skips a proxy for a time after it answered that it is stopping. */
+  function avoidStoppingProxy(address: string, {name}: Failure): void {
     if (name === 'STOPPING') {
-      avoidedUntil.set(address, realClock.now() + AVOIDANCE_TIME);
+      avoidedUntil.set(address, realClock.now() + AVOIDANCE_TIME_MS);
     }
   }
 
@@ -117,30 +123,30 @@
     const proxies = options
       .proxies()
       .filter(address => now >= (avoidedUntil.get(address) ?? 0));
-    return proxies[turn++ % proxies.length];
+    return proxies[nextIndex++ % proxies.length];
   }
 
   async function send<P extends object, R>(
     method: Method<P, R>,
     parameters: Omit<P, 'group' | 'token' | 'deadline'>,
   ): Promise<R> {
-    const end = realClock.now() + LONGEST_PERSISTENCE;
-    let last = 'no proxy';
-    while (realClock.now() < end) {
+    const giveUpAt = realClock.now() + SEND_TIMEOUT_MS;
+    let lastFailure = 'no proxy';
+    while (realClock.now() < giveUpAt) {
       const address = nextProxy();
       if (address !== undefined) {
         const reply = await sendOnce(address, method, parameters);
         if (reply.ok) {
           return reply.val;
         }
-        last = `${reply.val.name} ${reply.val.message}`;
-        if (!mayBeSentAgain(reply.val)) {
+        lastFailure = `${reply.val.name} ${reply.val.message}`;
+        if (!isRetryable(reply.val)) {
           break;
         }
       }
-      await sleep(RETRY_PAUSE);
+      await sleep(RETRY_BACKOFF_MS);
     }
-    throw new Error(`${method.name}: ${last}`);
+    throw new Error(`Request ${method.name} failed: ${lastFailure}`);
   }
 
   async function append(list: string, entry: string): Promise<void> {
--- a/packages/scenarios/src/processes/write_load.ts
+++ b/packages/scenarios/src/processes/write_load.ts
@@ -1,4 +1,4 @@
-/** Writers that append without pause, each in a session of its own. */
+/** Writers that append entries continuously, each in its own session. */
 import type {Failure} from '@kelpstep/protocol';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -6,48 +6,53 @@
 import {eventually} from './eventually';
 import {SessionCaller, createSessionCaller} from './session_caller';
 
-/** An entry whose confirmation reached its writer. */
+/**
+ * An entry whose writer received the confirmation. Times are monotonic
+ * milliseconds.
+ */
 export interface ConfirmedEntry {
   readonly entry: string;
   readonly sentAt: number;
-  /** Monotonic milliseconds. */
   readonly confirmedAt: number;
 }
 
 /** Writers that run until they are stopped. */
 export interface WriteLoad {
   readonly confirmed: readonly ConfirmedEntry[];
-  /** Failures that writers met and got over. */
+  /** Failures of all attempts, including those that were retried. */
   failures(): readonly Failure[];
-  /** Waits for a number of confirmations of entries sent from now on. */
+  /** Waits until `count` entries that are sent from now on are confirmed. */
   untilConfirmed(count: number): Promise<void>;
-  /** Lets each writer finish its entry; rejects if one failed for good. */
+  /** Stops after each writer's current entry; rejects if a writer failed. */
   stop(): Promise<void>;
 }
 
-/** What a load is made of. */
+/** Options of `startWriteLoad`. */
 export interface WriteLoadOptions {
   readonly group: string;
   readonly list: string;
   readonly writers: number;
-  /** Pause of a writer between its entries, milliseconds. */
+  /** Pause of each writer between two entries, milliseconds. */
   readonly pause: number;
   proxies(): readonly string[];
   /** Time for one attempt, milliseconds. */
   readonly attemptTime?: number | undefined;
 }
 
-/** Starts writers. */
+/** Starts the writers. */
 export function startWriteLoad(options: WriteLoadOptions): WriteLoad {
   const {group, list, writers, pause, proxies} = options;
   const confirmed: ConfirmedEntry[] = [];
   const callers = Array.from({length: writers}, () =>
     createSessionCaller({group, proxies, attemptTime: options.attemptTime}),
   );
-  let stopping = false;
+  let isStopping = false;
 
-  async function write(caller: SessionCaller, writer: number): Promise<void> {
-    for (let count = 0; !stopping; count++) {
+  async function runWriter(
+    caller: SessionCaller,
+    writer: number,
+  ): Promise<void> {
+    for (let count = 0; !isStopping; count++) {
       const entry = `${writer}-${count}`;
       const sentAt = realClock.now();
       await caller.append(list, entry);
@@ -56,18 +61,18 @@
     }
   }
 
-  const running = Promise.allSettled(callers.map(write));
+  const running = Promise.allSettled(callers.map(runWriter));
 
   async function untilConfirmed(count: number): Promise<void> {
     const from = realClock.now();
     await eventually(`${count} confirmed entries`, async () => {
-      const since = confirmed.filter(({sentAt}) => sentAt >= from);
-      return since.length >= count || undefined;
+      const confirmedSince = confirmed.filter(({sentAt}) => sentAt >= from);
+      return confirmedSince.length >= count || undefined;
     });
   }
 
   async function stop(): Promise<void> {
-    stopping = true;
+    isStopping = true;
     for (const outcome of await running) {
       if (outcome.status === 'rejected') {
         throw outcome.reason;
