--- a/packages/scenarios/src/bounded_timer.ts
+++ b/packages/scenarios/src/bounded_timer.ts
@@ -1,23 +1,30 @@
-/** Virtual time whose steps are bounded, so that no run goes on for ever. */
+/**
+ * A virtual timer with a maximum number of steps, so that every run terminates.
+ */
 import type {Milliseconds, VirtualTimer} from '@kelpstep/runtime';
 
-/** Bounds the steps of a timer's `advance` and `runUntil` together. */
+/**
+ * Limits the total number of steps of `advance`, `runUntil` and `step`; throws
+ * when the limit is exceeded.
+ */
 export function createBoundedTimer(
   inner: VirtualTimer,
-  mostSteps: number,
+  maximumSteps: number,
 ): VirtualTimer {
   let steps = 0;
 
-  function count(): void {
+  function countStep(): void {
     steps++;
-    if (steps > mostSteps) {
-      throw new Error(`more than ${mostSteps} steps by ${inner.now()} ms`);
+    if (steps > maximumSteps) {
+      throw new Error(
+        `virtual timer exceeded ${maximumSteps} steps at ${inner.now()} ms`,
+      );
     }
   }
 
   function runUntil(condition: () => boolean, limit: Milliseconds): boolean {
     return inner.runUntil(() => {
-      count();
+      countStep();
       return condition();
     }, limit);
   }
@@ -29,7 +36,7 @@
       runUntil(() => false, duration);
     },
     step() {
-      count();
+      countStep();
       return inner.step();
     },
   };
--- a/packages/scenarios/src/caller_link.ts
+++ b/packages/scenarios/src/caller_link.ts
@@ -1,4 +1,4 @@
-/** Requests of callers to proxies over a link with latency and faults. */
+/** Sends callers' requests to proxies over a simulated link with latency. */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import type {HandlerTable, Reply, RpcPeer} from '@kelpstep/rpc';
 import {
@@ -10,24 +10,29 @@
 import type {HostTimer} from '@kelpstep/stand-ins';
 import {Err} from 'ts-results';
 
-/** A proxy as a caller reaches it. */
+/** A proxy to which callers can send requests. */
 export interface ReachableProxy {
   readonly name: string;
-  /** The process's timer: tells whether it runs, and holds calls back. */
+  /**
+   * Timer of the process: shows whether it stopped, and defers calls while
+   * frozen.
+   */
   readonly process: HostTimer;
   readonly handlers: HandlerTable;
 }
 
-/** An answer, or `lost`: the connection broke or nothing came in time. */
+/** An answer, or `lost` if none arrived in time. */
 export type CallerReply = Reply<unknown> | 'lost';
 
-/** Time after its deadline that a caller goes on listening. */
-const PATIENCE: Milliseconds = 500;
+/** Time after the deadline during which a caller still accepts an answer. */
+const RESPONSE_GRACE_MS: Milliseconds = 500;
 
-/** Callers' handlers do not use the peer. */
+/** Placeholder: handlers of caller requests do not use the peer. */
 const NO_PEER = {} as RpcPeer;
 
-/** Sends a request and settles with its answer. */
+/**
+ * Sends a request; `latency` is one way, the deadline is in wall-clock time.
+ */
 export function callProxy(
   timer: TimerService,
   latency: Milliseconds,
@@ -36,11 +41,11 @@
   parameters: {readonly deadline: number} & Readonly<Record<string, unknown>>,
 ): Future<CallerReply> {
   const reply = createDeferred<CallerReply>();
-  const patience = parameters.deadline - timer.wallClock() + PATIENCE;
-  const cancel = timer.after(patience, () => reply.settle('lost'));
+  const timeout = parameters.deadline - timer.wallClock() + RESPONSE_GRACE_MS;
+  const cancel = timer.after(timeout, () => reply.settle('lost'));
   timer.after(latency, () => {
     if (proxy.process.isStopped()) {
-      answer(Err(refused()));
+      answer(Err(createRefusal()));
     } else {
       proxy.process.run(dispatch);
     }
@@ -61,6 +66,6 @@
   return reply.future;
 }
 
-function refused(): Failure {
+function createRefusal(): Failure {
   return createFailure('NOT_READY', {message: 'Connection refused.'});
 }
--- a/packages/scenarios/src/cluster.ts
+++ b/packages/scenarios/src/cluster.ts
@@ -1,4 +1,4 @@
-/** A simulated run's processes on one network, in virtual time. */
+/** Simulates the processes of a run on one network in virtual time. */
 import {commitManifest} from '@kelpstep/manifest';
 import type {LineWriter} from '@kelpstep/observability';
 import type {ProxyContext} from '@kelpstep/proxy';
@@ -25,7 +25,7 @@
 import {ProxyFleet, createProxyFleet} from './proxy_fleet';
 import {TargetFleet, startTargetFleet} from './target_fleet';
 
-/** What a cluster is made of. */
+/** Options of `createCluster`. */
 export interface ClusterOptions {
   readonly deployment: Deployment;
   readonly seed: number;
@@ -33,54 +33,57 @@
   readonly groups: number;
   /** Replication lag, milliseconds. */
   readonly lag: number;
-  /** Age that reads accept if they state none, milliseconds. */
+  /** Default staleness bound of reads, milliseconds. */
   readonly readStaleness: number;
   readonly overrides?: Pick<ProxyContext, 'policies' | 'timings'>;
   readonly writeLog?: LineWriter;
 }
 
-/** Proxies, targets and the platform. */
+/** Proxies, targets and the platform of a simulated run. */
 export interface Cluster {
   readonly deployment: Deployment;
   readonly timer: VirtualTimer;
   readonly random: Random;
-  /** Runs the tasks of callers and operators. */
+  /** Runtime for the tasks of callers and operators. */
   readonly runtime: Runtime;
   readonly network: FakeNetwork;
   readonly platform: PlatformAccess;
   readonly targets: TargetFleet;
   readonly proxies: ProxyFleet;
   readonly groups: readonly string[];
-  /** What operators committed so far. */
+  /** Commits that operators have sent so far. */
   readonly commits: readonly SentCommit[];
   /**
-   * Commits the manifest with these members leaving, as so many operators at
-   * once, each of whom expects the same version.
+   * Commits the manifest with the given members marked as leaving. Several
+   * operators commit concurrently, all expecting the same version.
    */
   commitManifest(leaving: ReadonlySet<string>, operators?: number): void;
-  /** Hosts of a data centre. */
+  /** Hosts of targets and proxies in a data centre. */
   hostsOf(dataCentre: number): string[];
-  /** Runs until each group has a primary that proxies know, or fails. */
+  /**
+   * Runs until all proxies are ready and each group has a primary; false on
+   * timeout.
+   */
   bootstrap(): boolean;
 }
 
-const JITTER = 0.5;
+const JITTER_MS = 0.5;
 const OPERATOR_HOST = '10.0.9.1';
-const BOOTSTRAP_LIMIT = 20_000;
-/** Some ten times what a run of the longest scenario takes. */
-const MOST_STEPS = 5_000_000;
+const BOOTSTRAP_LIMIT_MS = 20_000;
+/** About ten times the steps of a run of the longest scenario. */
+const MAXIMUM_STEPS = 5_000_000;
 
-/** Creates a cluster; its proxies start at once. */
+/** Creates a cluster and starts its proxies. */
 export function createCluster(options: ClusterOptions): Cluster {
   const {deployment, proxies: proxyCount} = options;
-  const timer = createBoundedTimer(createVirtualTimer(), MOST_STEPS);
+  const timer = createBoundedTimer(createVirtualTimer(), MAXIMUM_STEPS);
   const random = createRandom(options.seed);
   const runtime = createRuntime({timer, random: random.split()});
   const network = createFakeNetwork({
     timer,
     random: random.split(),
     latency: (from, to) => latencyBetween(deployment, from, to),
-    jitter: JITTER,
+    jitter: JITTER_MS,
   });
   const platform = createPlatformAccess(timer);
   const targets = startTargetFleet({
@@ -110,7 +113,8 @@
   function commit(leaving: ReadonlySet<string>, operators = 1): void {
     const expectedVersion = version++;
     for (let operator = 0; operator < operators; operator++) {
-      // Texts differ, so that rivals can't both be right.
+      // Concurrent manifests differ, so that at most one of them can be
+      // accepted.
       const staleness = options.readStaleness + operator;
       sendCommit(expectedVersion, `operator-${operator + 1}`, staleness);
     }
@@ -182,6 +186,6 @@
           proxies.hostOf(`proxy-${index + 1}`),
         ),
       ].filter(host => dataCentreOf(host) === dataCentre),
-    bootstrap: () => timer.runUntil(isServing, BOOTSTRAP_LIMIT),
+    bootstrap: () => timer.runUntil(isServing, BOOTSTRAP_LIMIT_MS),
   };
 }
--- a/packages/scenarios/src/cluster_monitor.ts
+++ b/packages/scenarios/src/cluster_monitor.ts
@@ -1,4 +1,4 @@
-/** Watches a running cluster for what its callers cannot see. */
+/** Checks invariants of a running cluster that its callers cannot observe. */
 import {LogPosition, TargetStatus} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
@@ -7,37 +7,43 @@
 import type {Operation} from './history';
 import type {Violation} from './invariants';
 
-/** Watches until the run ends. */
+/** Monitors a cluster until the run ends. */
 export interface ClusterMonitor {
-  /** Notes that something was done to the cluster. */
+  /** Records the time of an action on the cluster. */
   noteAction(): void;
-  /** Notes that the platform's list calls a target leaving. */
+  /** Records that the platform's list marks a target as leaving. */
   noteLeaving(targetId: string): void;
-  /** What was broken, once the run is over. */
+  /** Stops monitoring, runs the final checks and returns all violations. */
   findings(operations: readonly Operation[]): Violation[];
 }
 
-const PERIOD: Milliseconds = 10;
-/** A leaving target gets no new work this long after the last action. */
-const LEAVING_LIMIT: Milliseconds = 2_500;
-
-/** When a term was fenced at a majority, and what a majority held then. */
+const POLL_PERIOD_MS: Milliseconds = 10;
+/**
+ * Time after the last action from which a leaving target must get no
+ * statements.
+ */
+const LEAVING_GRACE_MS: Milliseconds = 2_500;
+
+/**
+ * A term that a majority fenced, and the log position that a majority held
+ * then.
+ */
 interface Fencing {
   readonly term: number;
   readonly fencedAt: Milliseconds;
-  /** Highest position of the term that a majority held. */
+  /** Highest log position of the term that a majority held. */
   readonly heldPosition: number;
-  /** When a majority first held a record of a higher term. */
+  /** Time at which a majority first held a record of a higher term. */
   replacedAt: Milliseconds;
 }
 
-/** Starts watching. */
+/** Starts monitoring a cluster. */
 export function createClusterMonitor(cluster: Cluster): ClusterMonitor {
   const {timer, targets, proxies, groups} = cluster;
   const versions = new Map<unknown, number>();
   const fencings = new Map<string, Map<number, Fencing>>();
   const leaving = new Set<string>();
-  const restingExecutions = new Map<string, number>();
+  const executionBaselines = new Map<string, number>();
   const violations: Violation[] = [];
   let lastActionAt = timer.now();
 
@@ -45,7 +51,7 @@
     violations.push({invariant, operation: undefined, message});
   }
 
-  function watchVersions(): void {
+  function checkVersions(): void {
     for (const {name, proxy} of proxies.running()) {
       const version = proxy.manifestVersion();
       const before = versions.get(proxy) ?? 0;
@@ -56,7 +62,7 @@
     }
   }
 
-  function watchTerms(group: string): void {
+  function recordTerms(group: string): void {
     const statuses = targets.targets
       .filter(target => target.group === group)
       .map(({database}) => database.control.status());
@@ -79,25 +85,31 @@
     }
   }
 
-  /** A commit that was refused makes nobody leave. */
+  /**
+   * True if the platform's list or an accepted manifest marks a target as
+   * leaving.
+   */
   function isLeaving(id: string): boolean {
-    const isCalledSo = cluster.commits.some(
+    const isInManifest = cluster.commits.some(
       commit => commit.result?.ok === true && commit.leaving.has(id),
     );
-    return isCalledSo || leaving.has(id);
+    return isInManifest || leaving.has(id);
   }
 
-  function watchLeaving(): void {
-    if (timer.now() < lastActionAt + LEAVING_LIMIT) {
+  function checkLeavingTargets(): void {
+    if (timer.now() < lastActionAt + LEAVING_GRACE_MS) {
       return;
     }
     for (const {id, database} of targets.targets) {
       const {executions} = database.control.statistics();
-      const before = restingExecutions.get(id) ?? executions;
-      restingExecutions.set(id, before);
+      const before = executionBaselines.get(id) ?? executions;
+      executionBaselines.set(id, before);
       if (executions > before && isLeaving(id)) {
-        restingExecutions.set(id, executions);
-        report('leaving-unused', `${id} got work at ${timer.now()} ms`);
+        executionBaselines.set(id, executions);
+        report(
+          'leaving-unused',
+          `${id} executed statements at ${timer.now()} ms`,
+        );
       }
     }
   }
@@ -107,11 +119,14 @@
     const inForce = proxies.running().map(({proxy}) => proxy.manifestVersion());
     const newest = Math.max(accepted, ...inForce);
     if (inForce.some(version => version !== newest)) {
-      report('manifest-in-force', `${newest}, but proxies: ${inForce.join()}`);
+      report(
+        'manifest-in-force',
+        `newest version is ${newest}, proxies have ${inForce.join()}`,
+      );
     }
   }
 
-  /** Nothing may be confirmed in a term after a majority refused the term. */
+  /** No write may be confirmed in a term after a majority fenced the term. */
   function checkFenced(operations: readonly Operation[]): void {
     for (const group of groups) {
       const positions = recordPositions(group);
@@ -124,7 +139,7 @@
           confirmedAt !== undefined &&
           at.position > fencing.heldPosition &&
           confirmedAt > fencing.fencedAt &&
-          confirmedAt < fencing.replacedAt - PERIOD;
+          confirmedAt < fencing.replacedAt - POLL_PERIOD_MS;
         if (isLate) {
           violations.push({
             invariant: 'fenced-term',
@@ -147,10 +162,10 @@
     return positions;
   }
 
-  const cancel = timer.every(PERIOD, () => {
-    watchVersions();
-    groups.forEach(watchTerms);
-    watchLeaving();
+  const cancel = timer.every(POLL_PERIOD_MS, () => {
+    checkVersions();
+    groups.forEach(recordTerms);
+    checkLeavingTargets();
   });
 
   return {
@@ -171,7 +186,9 @@
   return [...numbers].sort((left, right) => right - left);
 }
 
-/** Groups have three members, so the second best is what a majority has. */
+/**
+ * Groups have three members, so a majority holds the second highest position.
+ */
 function fencingOf(
   term: number,
   statuses: readonly TargetStatus[],
@@ -182,7 +199,7 @@
   return {term, fencedAt, heldPosition, replacedAt: Infinity};
 }
 
-/** The last position of a term's records in a log; 0 if it has none. */
+/** Position of the last record of a term in a log; 0 if there is none. */
 function lastPositionOf({history, end}: TargetStatus, term: number): number {
   const index = history.findIndex(start => start.term === term);
   if (index < 0) {
--- a/packages/scenarios/src/commit_checks.ts
+++ b/packages/scenarios/src/commit_checks.ts
@@ -1,32 +1,35 @@
-/** Commits of operators in a run, and what must hold of them. */
+/** Checks the manifest commits of operators in a run. */
 import type {CommitFailure, AcceptedManifest} from '@kelpstep/manifest';
 import type {Result} from 'ts-results';
 
 import type {Violation} from './invariants';
 
-/** A commit that an operator sent. */
+/** A manifest commit that an operator sent. */
 export interface SentCommit {
   readonly expectedVersion: number;
   readonly commitId: string;
-  /** Members that it calls leaving. */
+  /** Ids of the members that the manifest marks as leaving. */
   readonly leaving: ReadonlySet<string>;
-  /** What the operator was told; absent until then. */
+  /** Result reported to the operator; absent while the commit is pending. */
   result?: Result<AcceptedManifest, CommitFailure>;
 }
 
-/** Of commits that replace one version at most one wins; others hear of it. */
+/**
+ * Checks that at most one of the commits that replace the same version is
+ * accepted, and that exactly one is accepted if all others report a conflict.
+ */
 export function checkCommits(commits: readonly SentCommit[]): Violation[] {
   const violations: Violation[] = [];
   for (const expectedVersion of new Set(commits.map(versionOf))) {
-    const rivals = commits.filter(
+    const competing = commits.filter(
       commit => versionOf(commit) === expectedVersion,
     );
-    const outcomes = rivals.map(outcomeOf);
+    const outcomes = competing.map(outcomeOf);
     const accepted = outcomes.filter(outcome => outcome === 'accepted').length;
     const isDecided = outcomes.every(
       outcome => outcome === 'accepted' || outcome === 'VERSION_CONFLICT',
     );
-    if (accepted > 1 || (rivals.length > 1 && isDecided && accepted !== 1)) {
+    if (accepted > 1 || (competing.length > 1 && isDecided && accepted !== 1)) {
       violations.push({
         invariant: 'one-commit-wins',
         operation: undefined,
@@ -37,7 +40,9 @@
   return violations;
 }
 
-/** The highest version that an operator was told to be accepted. */
+/**
+ * The highest version whose acceptance was reported to an operator; 0 if none.
+ */
 export function highestAccepted(commits: readonly SentCommit[]): number {
   const versions = commits.map(({result}) => {
     return result?.ok === true ? result.val.version : 0;
--- a/packages/scenarios/src/deployments.ts
+++ b/packages/scenarios/src/deployments.ts
@@ -1,10 +1,10 @@
-/** The two deployments of today: places, latencies and sizes. */
+/** Data centres, latencies and sizes of the two current deployments. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 /** Names of the deployments. */
 export type DeploymentName = 'office' | 'utility';
 
-/** A deployment's figures. */
+/** Parameters of a deployment. */
 export interface Deployment {
   readonly service: string;
   readonly dataCentres: readonly [string, string, string];
@@ -19,12 +19,12 @@
   readonly slots: number;
   readonly connectionLimit: number;
   readonly connectionSetup: Milliseconds;
-  /** Time that a statement keeps its slot. */
+  /** Time for which a statement occupies a slot. */
   readonly serviceTime: Milliseconds;
   readonly groupPrefix: string;
 }
 
-/** Deployments by name. The third data centre lies in another region. */
+/** Deployments by name. The third data centre is in another region. */
 export const DEPLOYMENTS: Readonly<Record<DeploymentName, Deployment>> = {
   office: {
     service: 'handbook',
@@ -57,25 +57,25 @@
 /** Port on which every stand-in target listens. */
 const TARGET_PORT = 5432;
 
-/** Number of the data centre that lies in another region. */
+/** Index of the data centre that is in another region. */
 const REMOTE_DATA_CENTRE = 2;
 
-/** IP of a host: data centres have networks of their own. */
+/** IP of a target's host; each data centre has its own network. */
 export function targetHost(dataCentre: number, group: number): string {
   return `10.${dataCentre}.1.${group + 1}`;
 }
 
-/** Address of a member: one in each data centre. */
+/** Address, `IP:PORT`, of the member of a group in a data centre. */
 export function targetAddress(dataCentre: number, group: number): string {
   return `${targetHost(dataCentre, group)}:${TARGET_PORT}`;
 }
 
-/** IP of a proxy. */
+/** IP of a proxy's host. */
 export function proxyHost(dataCentre: number, index: number): string {
   return `10.${dataCentre}.2.${index + 1}`;
 }
 
-/** Number of the data centre in which a host is. */
+/** Index of the data centre of a host. */
 export function dataCentreOf(host: string): number {
   return Number(host.split('.')[1]);
 }
@@ -95,12 +95,12 @@
   return isRemote ? deployment.regionLatency : deployment.dataCentreLatency;
 }
 
-/** Name of a group. */
+/** Name of a group by its index. */
 export function groupName(deployment: Deployment, group: number): string {
   return `${deployment.groupPrefix}-${group + 1}`;
 }
 
-/** Member id of a group in a data centre. */
+/** Id of the member of a group in a data centre. */
 export function memberId(
   deployment: Deployment,
   group: number,
@@ -109,7 +109,7 @@
   return `${groupName(deployment, group)}-${deployment.dataCentres[dataCentre]}`;
 }
 
-/** The manifest's text; members in `leaving` are called leaving. */
+/** Text of the manifest; members in `leaving` have the state `leaving`. */
 export function manifestText(
   deployment: Deployment,
   groups: number,
--- a/packages/scenarios/src/differential.ts
+++ b/packages/scenarios/src/differential.ts
@@ -1,7 +1,7 @@
 /**
- * Compares what sessions were answered with the naive version. Sessions keep
- * to lists and counters of their own, hence a session's answers follow from
- * its own confirmed operations in their order, whatever others do.
+ * Compares the answers to sessions with those of the naive model. Each session
+ * uses its own lists and counters, so its answers depend only on its own
+ * confirmed operations and their order.
  */
 import type {Rows} from '@kelpstep/protocol';
 
@@ -9,14 +9,14 @@
 import {appendedRecords} from './invariants';
 import {createNaiveDatabase} from './naive_model';
 
-/** The outcome of a comparison. */
+/** Result of a comparison. */
 export interface Comparison {
-  /** Answers that were compared. */
+  /** Number of compared answers. */
   readonly compared: number;
   readonly differences: readonly string[];
 }
 
-/** Compares a history whose unknown outcomes are settled. */
+/** Compares a history whose unknown outcomes were resolved where possible. */
 export function compareWithNaive(operations: readonly Operation[]): Comparison {
   const sessions = new Set(operations.map(({session}) => session));
   const results = [...sessions].map(session =>
@@ -29,27 +29,30 @@
 }
 
 /**
- * A session has one request at a time, so what it was told at once has one
- * order. What was told unknown and settled as confirmed may have taken effect
- * at any time since: such records may stand anywhere, once, and stay there.
+ * A session has one request at a time, so operations that were confirmed
+ * directly have one order. An operation whose outcome was unknown and later
+ * resolved as confirmed may have taken effect at any time since: its records may
+ * occur once at any position, which then must not change.
  */
 function compareSession(operations: readonly Operation[]): Comparison {
   const database = createNaiveDatabase();
-  const late = new Set<string>();
+  const lateRecords = new Set<string>();
   const differences: string[] = [];
   let lateAdditions = 0;
-  let seen: readonly string[] = [];
+  let previousRecords: readonly string[] = [];
   let compared = 0;
 
   function compareList(rows: Rows, expected: Rows): boolean {
     const found = rows.map(row => String(row[0]));
-    const certain = found.filter(record => !late.has(record));
+    const orderedRecords = found.filter(record => !lateRecords.has(record));
     const wanted = expected.map(row => String(row[0]));
-    const keepsOrder = seen.every((record, index) => found[index] === record);
-    seen = found;
+    const keepsOrder = previousRecords.every(
+      (record, index) => found[index] === record,
+    );
+    previousRecords = found;
     return (
       keepsOrder &&
-      certain.join() === wanted.join() &&
+      orderedRecords.join() === wanted.join() &&
       new Set(found).size === found.length
     );
   }
@@ -62,14 +65,14 @@
   for (const operation of operations) {
     const {id, session, kind, rows, outcome, statements} = operation;
     if (outcome === 'unknown' || outcome === 'pending') {
-      // From here on more than one history is right.
+      // From here on, more than one history is valid.
       break;
     }
-    if (outcome !== 'confirmed' || isOfAnother(operation)) {
+    if (outcome !== 'confirmed' || isForeignList(operation)) {
       continue;
     }
     if (operation.wasUnknown === true) {
-      appendedRecords(operation).forEach(record => late.add(record));
+      appendedRecords(operation).forEach(record => lateRecords.add(record));
       lateAdditions += kind === 'counter-add' ? 1 : 0;
       continue;
     }
@@ -89,14 +92,20 @@
   return {compared, differences};
 }
 
-/** A read with a stated age may look at another session's list. */
-function isOfAnother({kind, session, statements}: Operation): boolean {
+/**
+ * True for a read of another session's list; reads with a staleness bound do
+ * that.
+ */
+function isForeignList({kind, session, statements}: Operation): boolean {
   return (
     kind === 'list' && statements[0]?.parameters[0] !== sessionList(session)
   );
 }
 
-/** Settling an outcome gives no rows; commits and appends have none. */
+/**
+ * True for operations that return rows; commits, appends and resolved outcomes
+ * have none.
+ */
 function isComparable({kind, rows}: Operation): boolean {
   return rows !== undefined && (kind === 'list' || kind === 'counter-add');
 }
--- a/packages/scenarios/src/history.ts
+++ b/packages/scenarios/src/history.ts
@@ -1,4 +1,7 @@
-/** What sessions asked and what they were told: the input of the checker. */
+/**
+ * Operations of sessions and their reported outcomes: input of the invariant
+ * checker.
+ */
 import type {
   ErrorName,
   IdempotencyKey,
@@ -7,10 +10,12 @@
 } from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** What a session was told of a request in the end. */
-export type ToldOutcome = 'confirmed' | 'not_run' | 'unknown' | 'pending';
+/**
+ * Final outcome of a request as reported to its session; `pending` until then.
+ */
+export type ReportedOutcome = 'confirmed' | 'not_run' | 'unknown' | 'pending';
 
-/** What a session asked for. */
+/** Kind of an operation. */
 export type OperationKind = 'append' | 'list' | 'counter-add' | 'transaction';
 
 /** One operation of a session. Times are virtual milliseconds. */
@@ -19,33 +24,33 @@
   readonly session: string;
   readonly kind: OperationKind;
   readonly group: string;
-  /** The statements, in order. */
+  /** Statements in execution order. */
   readonly statements: readonly Statement[];
   readonly invokedAt: Milliseconds;
-  /** Oldest data accepted by a read, if stated. */
+  /** Staleness bound of a read, if it states one. */
   readonly maximumAge?: Milliseconds;
-  /** Names a write; it may be sent again with the same key. */
+  /** Idempotency key of a write; retries use the same key. */
   key?: IdempotencyKey;
-  /** When its first request was answered, or given up. */
+  /** Time at which the first attempt was answered or timed out. */
   firstAnswerAt?: Milliseconds;
-  /** Set when the answer arrives. */
+  /** Time of the final answer or time-out. */
   completedAt?: Milliseconds;
-  /** Set when an answer confirms it. */
+  /** Time of the answer that confirmed the operation. */
   confirmedAt?: Milliseconds;
-  /** True if its outcome was unknown until it was settled. */
+  /** True if the outcome was unknown before it was resolved after the load. */
   wasUnknown?: boolean;
-  outcome: ToldOutcome;
+  outcome: ReportedOutcome;
   error?: ErrorName;
   rows?: Rows;
   servedByRole?: 'primary' | 'replica';
-  /** Deadline that the request carried, virtual milliseconds. */
+  /** Deadline of the request. */
   readonly deadline: Milliseconds;
 }
 
 /** The operations of a run in the order in which they were invoked. */
 export interface History {
   readonly operations: readonly Operation[];
-  /** Records an operation as invoked and gives it to be completed. */
+  /** Records an invoked operation; the caller fills in its result later. */
   invoke(operation: Omit<Operation, 'id' | 'outcome'>): Operation;
 }
 
@@ -66,12 +71,12 @@
   };
 }
 
-/** List that holds the records which a session appends. */
+/** Name of the list to which a session appends its records. */
 export function sessionList(session: string): string {
   return `records-of-${session}`;
 }
 
-/** The record that an append operation writes: unique in a run. */
+/** Text of the record that an append writes; unique within a run. */
 export function recordText(session: string, sequence: number): string {
   return `${session}/${sequence}`;
 }
--- a/packages/scenarios/src/invariants.ts
+++ b/packages/scenarios/src/invariants.ts
@@ -1,13 +1,13 @@
 /**
- * Checks a recorded history against the promises. All findings are collected;
- * an empty list means that the history keeps the promises.
+ * Checks a recorded history against the invariants. All violations are
+ * collected; an empty list means that all invariants hold.
  */
 import type {Rows} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {Operation} from './history';
 
-/** Promise that a finding speaks against. */
+/** Names of the invariants. */
 export type Invariant =
   | 'confirmed-once'
   | 'not-run-absent'
@@ -24,35 +24,37 @@
   | 'manifest-in-force'
   | 'one-commit-wins';
 
-/** One broken promise. */
+/** A violation of an invariant; `operation` is the operation's id. */
 export interface Violation {
   readonly invariant: Invariant;
   readonly operation: number | undefined;
   readonly message: string;
 }
 
-/** The records of a session's list when the run is over and all is healed. */
+/**
+ * Returns the records of a session's list after the run, with all faults ended.
+ */
 export type FinalRecords = (
   session: string,
   group: string,
 ) => readonly string[];
 
-/** What the checker looks at. */
+/** Input of the invariant checker. */
 export interface CheckedRun {
   readonly operations: readonly Operation[];
   readonly finalRecords: FinalRecords;
-  /** Time after its deadline within which an answer must have come. */
+  /** Time after its deadline within which a request must be answered. */
   readonly answerGrace: Milliseconds;
 }
 
-/** The records that an operation appends. */
+/** Returns the records that an operation appends. */
 export function appendedRecords(operation: Operation): string[] {
   return operation.statements
     .filter(statement => statement.text === 'append ? ?')
     .map(statement => String(statement.parameters[1]));
 }
 
-/** The entries of a list that a read returned. */
+/** Returns the records in the rows of a list read. */
 export function readRecords(rows: Rows): string[] {
   return rows.map(row => String(row[0]));
 }
@@ -69,7 +71,7 @@
 export function checkInvariants(run: CheckedRun): Violation[] {
   return [
     ...checkFinalRecords(run),
-    ...checkInvented(run),
+    ...checkNothingInvented(run),
     ...checkReads(run.operations),
     ...checkAnswered(run),
   ];
@@ -83,27 +85,27 @@
     const counts = appendedRecords(operation).map(record =>
       countOf(final, record),
     );
-    const invariant = brokenBy(operation, counts);
+    const invariant = violatedInvariant(operation, counts);
     if (invariant !== undefined) {
       violations.push({
         invariant,
         operation: id,
-        message: `${session} was told ${operation.outcome}; copies: ${counts.join(', ')}`,
+        message: `${session}: reported outcome ${operation.outcome}; copies: ${counts.join(', ')}`,
       });
     }
   }
   return violations;
 }
 
-function brokenBy(
+function violatedInvariant(
   operation: Operation,
   counts: readonly number[],
 ): Invariant | undefined {
-  const told = operation.outcome;
-  if (told === 'confirmed' && counts.some(count => count !== 1)) {
+  const outcome = operation.outcome;
+  if (outcome === 'confirmed' && counts.some(count => count !== 1)) {
     return 'confirmed-once';
   }
-  if (told === 'not_run' && counts.some(count => count !== 0)) {
+  if (outcome === 'not_run' && counts.some(count => count !== 0)) {
     return 'not-run-absent';
   }
   if (counts.some(count => count > 1)) {
@@ -115,20 +117,20 @@
   return undefined;
 }
 
-function checkInvented(run: CheckedRun): Violation[] {
+function checkNothingInvented(run: CheckedRun): Violation[] {
   const violations: Violation[] = [];
-  const asked = new Set(run.operations.flatMap(appendedRecords));
+  const requested = new Set(run.operations.flatMap(appendedRecords));
   const lists = new Map<string, Operation>();
   for (const operation of run.operations) {
     lists.set(`${operation.session} ${operation.group}`, operation);
   }
   for (const {session, group} of lists.values()) {
     for (const record of run.finalRecords(session, group)) {
-      if (!asked.has(record)) {
+      if (!requested.has(record)) {
         violations.push({
           invariant: 'nothing-invented',
           operation: undefined,
-          message: `${record} in the list of ${session} was never asked for`,
+          message: `${record} in the list of ${session} was never requested`,
         });
       }
     }
@@ -165,7 +167,10 @@
     }));
 }
 
-function missing(read: Operation, writes: readonly Operation[]): string[] {
+function missingRecords(
+  read: Operation,
+  writes: readonly Operation[],
+): string[] {
   const seen = new Set(readRecords(read.rows ?? []));
   return writes.flatMap(appendedRecords).filter(record => !seen.has(record));
 }
@@ -193,14 +198,16 @@
     return [];
   }
   const own = confirmedBefore(read, operations, read.invokedAt);
-  return missing(read, own).map(record => ({
+  return missingRecords(read, own).map(record => ({
     invariant: 'read-your-writes',
     operation: read.id,
     message: `${read.session} did not see its own ${record}`,
   }));
 }
 
-/** All that was confirmed `maximumAge` before the answer must be in it. */
+/**
+ * An answer must contain all records confirmed at least `maximumAge` before it.
+ */
 function checkAge(
   read: Operation,
   operations: readonly Operation[],
@@ -210,7 +217,7 @@
   }
   const oldest = read.completedAt - read.maximumAge;
   const due = confirmedBefore(read, operations, oldest);
-  return missing(read, due).map(record => ({
+  return missingRecords(read, due).map(record => ({
     invariant: 'age',
     operation: read.id,
     message: `${record} was confirmed more than ${read.maximumAge} ms before`,
--- a/packages/scenarios/src/main.ts
+++ b/packages/scenarios/src/main.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run scenarios -- --seed N --runs M [--scenario FILE] [--workers K]`:
- * seeded runs in processes of their own; prints each failing seed with the
- * command that replays it. `--print` prints the scenario of a seed instead.
+ * runs consecutive seeds in worker processes and prints each failing seed with
+ * the command that replays it. `--print` prints the scenario of a seed instead.
  */
 import {ChildProcess, fork} from 'node:child_process';
 import {readFileSync} from 'node:fs';
@@ -21,8 +21,8 @@
   readonly print: boolean;
 }
 
-/** What a worker may take for one run before it is ended, milliseconds. */
-const TIME_PER_RUN = 60_000;
+/** Time per run after which a worker is killed. */
+const TIMEOUT_PER_RUN_MS = 60_000;
 
 function readOptions(): Options {
   return yargs(hideBin(process.argv))
@@ -57,23 +57,25 @@
   const worker: ChildProcess = fork(
     __filename,
     ['--seed', `${seed}`, '--runs', `${runs}`, '--workers', '1', ...file],
-    {timeout: runs * TIME_PER_RUN},
+    {timeout: runs * TIMEOUT_PER_RUN_MS},
   );
   worker.on('exit', code => {
     if (code !== 0) {
       process.exitCode = 1;
     }
     if (code === null) {
-      console.log(`seeds ${seed} to ${seed + runs - 1}: took too long`);
+      console.log(
+        `seeds ${seed} to ${seed + runs - 1}: worker was killed; its timeout is ${TIMEOUT_PER_RUN_MS} ms per run`,
+      );
     }
   });
 }
 
 function runInWorkers(options: Options): void {
   const share = Math.ceil(options.runs / options.workers);
-  for (let begun = 0; begun < options.runs; begun += share) {
-    const runs = Math.min(share, options.runs - begun);
-    startWorker(options, options.seed + begun, runs);
+  for (let started = 0; started < options.runs; started += share) {
+    const runs = Math.min(share, options.runs - started);
+    startWorker(options, options.seed + started, runs);
   }
 }
 
--- a/packages/scenarios/src/measurements.ts
+++ b/packages/scenarios/src/measurements.ts
@@ -1,28 +1,38 @@
-/** What a run shows besides whether the promises held. */
+/** Measurements of a run, for the expectations of a scenario. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {Cluster} from './cluster';
 import type {Operation} from './history';
 
-/** Figures of one run. Shares are in percent. */
+/** Measurements of one run. Shares are in percent. */
 export interface Measurements {
   readonly operations: number;
-  /** Longest time without a confirmed write in the first group, from the first
-   * action to the end of the load. */
+  /**
+   * Longest time without a confirmed write in the first group, from the first
+   * action to the end of the load.
+   */
   readonly writeGap: Milliseconds;
-  /** Terms with records in the first group's log, less the first. */
+  /** Number of terms with records in the first group's log, minus one. */
   readonly primaryChanges: number;
-  /** Of the answered reads with a stated age. */
+  /**
+   * Share that replicas served of the confirmed reads with a staleness bound.
+   */
   readonly replicaShare: number;
   readonly confirmedShare: number;
-  /** Of writes begun from a second after the first action to the last one;
-   * without a refused one, infinite. */
+  /**
+   * Longest time to the first answer of an unconfirmed write that started at
+   * least a second after the first action and before the last one; infinite if
+   * there is none.
+   */
   readonly refusalTime: Milliseconds;
-  /** Operations told that their outcome is unknown, before settling. */
+  /**
+   * Number of operations whose reported outcome was unknown before it was
+   * resolved.
+   */
   readonly unknown: number;
 }
 
-/** What is measured. */
+/** A completed run. Times are monotonic milliseconds. */
 export interface MeasuredRun {
   readonly cluster: Cluster;
   readonly operations: readonly Operation[];
@@ -32,15 +42,22 @@
   readonly endedAt: Milliseconds;
 }
 
-/** Time to notice a loss, before refusals are looked at. */
-const DETECTION_TIME: Milliseconds = 1000;
+/**
+ * Time for proxies to detect a fault; earlier writes are excluded from
+ * `refusalTime`.
+ */
+const DETECTION_TIME_MS: Milliseconds = 1000;
 
-/** Takes the figures of a run that is over. */
+/** Computes the measurements of a completed run. */
 export function measure(run: MeasuredRun): Measurements {
   const {operations, cluster} = run;
   const confirmed = operations.filter(({outcome}) => outcome === 'confirmed');
-  const aged = confirmed.filter(({maximumAge}) => maximumAge !== undefined);
-  const byReplica = aged.filter(({servedByRole}) => servedByRole === 'replica');
+  const withMaximumAge = confirmed.filter(
+    ({maximumAge}) => maximumAge !== undefined,
+  );
+  const byReplica = withMaximumAge.filter(
+    ({servedByRole}) => servedByRole === 'replica',
+  );
   const first = cluster.groups[0] ?? '';
   const newest = cluster.targets.newest(first);
   const terms = newest?.database.control.status().history.length ?? 0;
@@ -48,7 +65,7 @@
     operations: operations.length,
     writeGap: longestGap(run, first),
     primaryChanges: terms - 1,
-    replicaShare: percent(byReplica.length, aged.length),
+    replicaShare: percent(byReplica.length, withMaximumAge.length),
     confirmedShare: percent(confirmed.length, operations.length),
     refusalTime: longestRefusal(run),
     unknown: operations.filter(({wasUnknown}) => wasUnknown === true).length,
@@ -61,7 +78,7 @@
       ({kind, invokedAt, outcome}) =>
         kind !== 'list' &&
         outcome !== 'confirmed' &&
-        invokedAt >= run.faultAt + DETECTION_TIME &&
+        invokedAt >= run.faultAt + DETECTION_TIME_MS &&
         invokedAt < run.lastActionAt,
     )
     .map(({firstAnswerAt, completedAt, invokedAt}) => {
--- a/packages/scenarios/src/naive_model.ts
+++ b/packages/scenarios/src/naive_model.ts
@@ -1,11 +1,11 @@
 /**
- * The naive version that answers are compared with: one database, one request
- * after another, no failure. Sessions keep to lists and counters of their own,
- * so that each session's answers follow from its own requests alone.
+ * Reference model for answers: one database that runs requests sequentially and
+ * never fails. Each session uses its own lists and counters, so its answers
+ * depend only on its own requests.
  */
 import type {Rows, Statement} from '@kelpstep/protocol';
 
-/** One database that runs statements at once. */
+/** An in-memory database that runs statements synchronously. */
 export interface NaiveDatabase {
   /** Runs a statement of the stand-in's language. */
   execute(statement: Statement): Rows;
--- a/packages/scenarios/src/platform_access.ts
+++ b/packages/scenarios/src/platform_access.ts
@@ -1,4 +1,4 @@
-/** The platform of a simulated run and the cuts between it and data centres. */
+/** The platform of a simulated run and its partitions from data centres. */
 import type {PlatformClient} from '@kelpstep/platform';
 import type {ListedInstance} from '@kelpstep/protocol';
 import type {TimerService} from '@kelpstep/runtime';
@@ -9,25 +9,28 @@
 
 import {dataCentreOf} from './deployments';
 
-/** The platform as the hosts of a run reach it. */
+/** Access to the platform from the hosts of a run. */
 export interface PlatformAccess {
   readonly platform: ReturnType<typeof createPlatform>;
-  /** A client for a process; it is cut off with its data centre. */
+  /**
+   * Creates a client for a host; it fails while the host's data centre is
+   * partitioned.
+   */
   clientFor(host: string, timer: TimerService): PlatformClient;
-  cutDataCentre(dataCentre: number): void;
+  partitionDataCentre(dataCentre: number): void;
   healAll(): void;
-  /** Changes the state of an instance in the list. */
+  /** Adds an instance to the platform's list, or updates its entry. */
   list(instance: ListedInstance): void;
 }
 
-const LATENCY = 4;
-const LISTING_LAG = 500;
+const LATENCY_MS = 4;
+const LISTING_LAG_MS = 500;
 
-/** Creates the platform; its list lags. */
+/** Creates the platform; changes of its list become visible with a delay. */
 export function createPlatformAccess(timer: TimerService): PlatformAccess {
   const platform = createPlatform(timer);
-  platform.configure({latency: LATENCY, listingLag: LISTING_LAG});
-  const cutOff = new Set<number>();
+  platform.configure({latency: LATENCY_MS, listingLag: LISTING_LAG_MS});
+  const partitioned = new Set<number>();
   const listed = new Map<string, ListedInstance>();
 
   return {
@@ -37,10 +40,10 @@
         platform,
         timer: hostTimer,
         platformTimer: timer,
-        isReachable: () => !cutOff.has(dataCentreOf(host)),
+        isReachable: () => !partitioned.has(dataCentreOf(host)),
       }),
-    cutDataCentre: dataCentre => cutOff.add(dataCentre),
-    healAll: () => cutOff.clear(),
+    partitionDataCentre: dataCentre => partitioned.add(dataCentre),
+    healAll: () => partitioned.clear(),
     list(instance) {
       listed.set(instance.id, instance);
       platform.setInstances([...listed.values()]);
--- a/packages/scenarios/src/proxy_fleet.ts
+++ b/packages/scenarios/src/proxy_fleet.ts
@@ -1,4 +1,4 @@
-/** The proxies of a simulated run: started, killed, paused, stopped. */
+/** Starts, stops, kills and freezes the proxies of a simulated run. */
 import {readSettings} from '@kelpstep/manifest';
 import {LineWriter, createLogger} from '@kelpstep/observability';
 import {Proxy, ProxyContext, createProxy} from '@kelpstep/proxy';
@@ -17,24 +17,24 @@
 
 /** The proxies of a run. */
 export interface ProxyFleet {
-  /** Starts a process under a name, or one that takes its place. */
+  /** Starts a proxy process; it replaces an earlier one of the same name. */
   start(name: string): void;
   kill(name: string): void;
   freeze(name: string): void;
   thaw(name: string): void;
-  /** Stops gracefully; the process ends by itself. */
+  /** Stops a proxy gracefully; its process ends after the drain. */
   stop(name: string): void;
   thawAll(): void;
   find(name: string): FleetProxy | undefined;
-  /** Those that run. */
+  /** Proxies whose process is running, frozen ones included. */
   running(): readonly FleetProxy[];
-  /** Those that the balancer offers: its view lags. */
+  /** Proxies that the load balancer offered at its last readiness poll. */
   offered(): readonly FleetProxy[];
-  /** IP of a proxy's host by its name. */
+  /** IP of the host of a proxy. */
   hostOf(name: string): string;
 }
 
-/** What a fleet is made of. */
+/** Options of `createProxyFleet`. */
 export interface ProxyFleetOptions {
   readonly timer: TimerService;
   readonly random: Random;
@@ -43,16 +43,16 @@
   readonly deployment: Deployment;
   readonly size: number;
   readonly writeLog: LineWriter;
-  /** Policies and times that differ from the defaults. */
+  /** Policies and timings that replace the defaults. */
   readonly overrides: Pick<ProxyContext, 'policies' | 'timings'>;
 }
 
 const PEER_PORT = 7002;
-const SEEDS = 3;
-/** How often the balancer asks whether proxies are ready. */
-const BALANCER_PERIOD = 100;
+const SEED_COUNT = 3;
+/** Interval at which the load balancer polls the readiness of proxies. */
+const BALANCER_POLL_PERIOD_MS = 100;
 
-/** Creates a fleet in which nothing runs. */
+/** Creates a fleet without running proxies. */
 export function createProxyFleet(options: ProxyFleetOptions): ProxyFleet {
   const {timer, random, network, platform, deployment, size} = options;
   const proxies = new Map<string, FleetProxy>();
@@ -73,7 +73,7 @@
     const dataCentre =
       deployment.dataCentres[indexOf(name) % deployment.dataCentres.length];
     const seeds = Array.from(
-      {length: Math.min(size, SEEDS)},
+      {length: Math.min(size, SEED_COUNT)},
       (unusedItem, index) => `${hostOf(`proxy-${index + 1}`)}:${PEER_PORT}`,
     );
     return readSettings(
@@ -127,7 +127,7 @@
     });
   }
 
-  function end(name: string): void {
+  function terminate(name: string): void {
     runtimes.get(name)?.shutdown();
     network.killHost(hostOf(name));
   }
@@ -137,7 +137,7 @@
     entry?.proxy.stop().onSettled(() => {
       entry.proxy.close();
       if (proxies.get(name) === entry) {
-        end(name);
+        terminate(name);
       }
     });
   }
@@ -153,11 +153,11 @@
     );
   }
 
-  timer.every(BALANCER_PERIOD, refreshOffered);
+  timer.every(BALANCER_POLL_PERIOD_MS, refreshOffered);
 
   return {
     start,
-    kill: end,
+    kill: terminate,
     freeze: name => network.freezeHost(hostOf(name)),
     thaw: name => network.thawHost(hostOf(name)),
     stop,
--- a/packages/scenarios/src/run_scenario.ts
+++ b/packages/scenarios/src/run_scenario.ts
@@ -1,4 +1,4 @@
-/** Runs a scenario with a seed and checks what must hold. */
+/** Runs a scenario with a seed and checks invariants and expectations. */
 import type {LineWriter} from '@kelpstep/observability';
 import type {ProxyContext} from '@kelpstep/proxy';
 import {Milliseconds, Task, waitFor} from '@kelpstep/runtime';
@@ -18,17 +18,17 @@
 } from './scenario_language';
 import {runSession} from './session_load';
 
-/** What a run showed. */
+/** Result of a run. */
 export interface ScenarioReport {
   readonly seed: number;
   readonly violations: readonly Violation[];
-  /** Expectations that were not met, in words. */
+  /** Descriptions of the expectations that were not met. */
   readonly unmet: readonly string[];
   readonly measurements: Measurements;
   readonly operations: readonly Operation[];
 }
 
-/** What a run may be given besides its scenario and seed. */
+/** Optional proxy policies, timings and log output of a run. */
 export interface RunOptions {
   readonly overrides?: Pick<ProxyContext, 'policies' | 'timings'>;
   readonly writeLog?: LineWriter;
@@ -50,16 +50,16 @@
   end: 4500,
 };
 
-/** Age that reads accept if they state none. */
-const READ_STALENESS: Milliseconds = 1000;
-const ONLY_READS = 100;
-/** How long everything has at most, once all faults ended, to come to rest. */
-const REST: Milliseconds = 4000;
-const REST_STEP: Milliseconds = 100;
-const SETTLE_DEADLINE: Milliseconds = 3000;
-const SETTLE_ATTEMPTS = 5;
-/** An answer may take this much longer than its deadline. */
-const ANSWER_GRACE: Milliseconds = 600;
+/** Default staleness bound of reads. */
+const READ_STALENESS_MS: Milliseconds = 1000;
+const READS_ONLY_PERCENT = 100;
+/** Maximum time for the cluster to settle after all faults have ended. */
+const SETTLING_LIMIT_MS: Milliseconds = 4000;
+const SETTLING_STEP_MS: Milliseconds = 100;
+const OUTCOME_DEADLINE_MS: Milliseconds = 3000;
+const OUTCOME_ATTEMPTS = 5;
+/** Time after its deadline within which a request must be answered. */
+const ANSWER_GRACE_MS: Milliseconds = 600;
 
 /** Runs a scenario once. */
 export function runScenario(
@@ -74,11 +74,11 @@
     proxies: settings.proxies,
     groups: settings.groups,
     lag: settings.lag,
-    readStaleness: READ_STALENESS,
+    readStaleness: READ_STALENESS_MS,
     ...options,
   });
   if (!cluster.bootstrap()) {
-    throw new Error(`seed ${seed}: the cluster did not come up`);
+    throw new Error(`seed ${seed}: the cluster did not become ready`);
   }
   const startedAt = cluster.timer.now();
   const history = createHistory();
@@ -90,8 +90,8 @@
   }
   cluster.timer.advance(settings.end);
   actions.recover();
-  rest(cluster, history, settings.deadline);
-  settleUnknown(cluster, history);
+  waitUntilSettled(cluster, history, settings.deadline);
+  resolveUnknownOutcomes(cluster, history);
 
   const measurements = measure({
     cluster,
@@ -108,11 +108,11 @@
       ...checkInvariants({
         operations: history.operations,
         finalRecords: (session, group) => finalRecords(cluster, session, group),
-        answerGrace: ANSWER_GRACE,
+        answerGrace: ANSWER_GRACE_MS,
       }),
     ],
     unmet: scenario.expectations.flatMap(expectation =>
-      judge(expectation, measurements),
+      checkExpectation(expectation, measurements),
     ),
     measurements,
     operations: history.operations,
@@ -141,7 +141,7 @@
         group,
         latency: deployment.callerLatency,
         period: settings.period,
-        reads: index < settings.sessions ? settings.reads : ONLY_READS,
+        reads: index < settings.sessions ? settings.reads : READS_ONLY_PERCENT,
         age: settings.age,
         deadline: settings.deadline,
         end: timer.now() + settings.end,
@@ -149,65 +149,72 @@
           (unusedName, other) =>
             other % groups.length === index % groups.length,
         ),
-        proxies: () => reachable(cluster),
+        proxies: () => reachableProxies(cluster),
       }),
     );
   }
 }
 
 /**
- * Lets everything come to rest. No request outlives the load by more than its
- * deadline, so what could still arrive late has arrived by then.
+ * Waits until targets have converged and all operations are complete. No request
+ * outlives the load by more than its deadline, so every late message has arrived
+ * by then.
  */
-function rest(
+function waitUntilSettled(
   {timer, groups, targets}: Cluster,
   {operations}: History,
   deadline: Milliseconds,
 ): void {
-  const limit = timer.now() + Math.max(REST, deadline);
+  const limit = timer.now() + Math.max(SETTLING_LIMIT_MS, deadline);
   timer.advance(deadline);
-  const isAtRest = () =>
+  const isSettled = () =>
     groups.every(group => targets.isConverged(group)) &&
     operations.every(({completedAt}) => completedAt !== undefined);
-  while (timer.now() < limit && !isAtRest()) {
-    timer.advance(REST_STEP);
+  while (timer.now() < limit && !isSettled()) {
+    timer.advance(SETTLING_STEP_MS);
   }
 }
 
-/** What the balancer offers, or any that runs if it offers none. */
-function reachable({proxies}: Cluster): readonly ReachableProxy[] {
+/**
+ * Proxies that the load balancer offers, or all running ones if it offers none.
+ */
+function reachableProxies({proxies}: Cluster): readonly ReachableProxy[] {
   const offered = proxies.offered();
   return offered.length > 0 ? offered : proxies.running();
 }
 
-/** Asks for the outcome of what is still unknown, as a caller would. */
-function settleUnknown(cluster: Cluster, history: History): void {
-  const open = history.operations.filter(
+/**
+ * Requests the outcome of each operation whose outcome is unknown, as a caller
+ * would.
+ */
+function resolveUnknownOutcomes(cluster: Cluster, history: History): void {
+  const unresolved = history.operations.filter(
     ({outcome, key}) => outcome === 'unknown' && key !== undefined,
   );
-  const tasks = open.map(
+  const tasks = unresolved.map(
     operation =>
-      cluster.runtime.spawn('settle', settleOne(cluster, operation)).result,
+      cluster.runtime.spawn('settle', resolveOutcome(cluster, operation))
+        .result,
   );
   cluster.timer.runUntil(
     () => tasks.every(task => task.isSettled()),
-    SETTLE_ATTEMPTS * SETTLE_DEADLINE,
+    OUTCOME_ATTEMPTS * OUTCOME_DEADLINE_MS,
   );
 }
 
-function* settleOne(cluster: Cluster, operation: Operation): Task<void> {
+function* resolveOutcome(cluster: Cluster, operation: Operation): Task<void> {
   const {timer, deployment, random} = cluster;
-  for (let attempt = 0; attempt < SETTLE_ATTEMPTS; attempt++) {
+  for (let attempt = 0; attempt < OUTCOME_ATTEMPTS; attempt++) {
     const reply = yield* waitFor(
       callProxy(
         timer,
         deployment.callerLatency,
-        random.pick(reachable(cluster)),
+        random.pick(reachableProxies(cluster)),
         'outcome',
         {
           group: operation.group,
           key: operation.key,
-          deadline: timer.wallClock() + SETTLE_DEADLINE,
+          deadline: timer.wallClock() + OUTCOME_DEADLINE_MS,
         },
       ),
     );
@@ -231,13 +238,13 @@
   return readRecords(rows ?? []);
 }
 
-function judge(
+function checkExpectation(
   {name, value, line}: Expectation,
   measurements: Measurements,
 ): string[] {
   const {writeGap, primaryChanges, replicaShare, confirmedShare, refusalTime} =
     measurements;
-  const found = {
+  const measured = {
     'write-gap': writeGap,
     'primary-changes': primaryChanges,
     'replica-share': replicaShare,
@@ -251,5 +258,5 @@
     'confirmed-share': confirmedShare >= value,
     'refusal-time': refusalTime <= value,
   }[name];
-  return holds ? [] : [`line ${line}: ${name} ${value}, found ${found}`];
+  return holds ? [] : [`line ${line}: ${name} ${value}, found ${measured}`];
 }
--- a/packages/scenarios/src/scenario_actions.ts
+++ b/packages/scenarios/src/scenario_actions.ts
@@ -1,42 +1,41 @@
-/** Carries out the actions of a scenario on a cluster. */
+/** Executes the actions of a scenario on a cluster. */
 import type {Cluster} from './cluster';
 import type {ClusterMonitor} from './cluster_monitor';
 import type {ActionName, ScenarioAction} from './scenario_language';
 import type {FleetTarget} from './target_fleet';
 
-/** Carries out actions; keeps what later ones refer to. */
+/** Executes actions and keeps the state that later actions refer to. */
 export interface ActionRunner {
   run(action: ScenarioAction): void;
-  /** Ends every fault that can end: network, pauses, the platform. */
+  /** Ends network and platform faults, message delays and process freezes. */
   recover(): void;
 }
 
-/** Who is told what was done. */
+/** Is notified of executed actions. */
 type ActionListener = Pick<ClusterMonitor, 'noteAction' | 'noteLeaving'>;
 
-const NOBODY: ActionListener = {noteAction() {}, noteLeaving() {}};
+const NO_LISTENER: ActionListener = {noteAction() {}, noteLeaving() {}};
 
 type ActionHandler = (name: string, amount: number) => void;
 
-const LATE_ONE_IN = 2;
+const DELAYED_ANSWER_INTERVAL = 2;
 
-/** Creates a runner for a cluster. */
+/** Creates an action runner for a cluster. */
 export function createActionRunner(
   cluster: Cluster,
-  monitor: ActionListener = NOBODY,
+  monitor: ActionListener = NO_LISTENER,
 ): ActionRunner {
   const {network, targets, proxies, platform, deployment} = cluster;
   const frozen = new Map<string, FleetTarget>();
   const delays = new Map<string, () => void>();
   const leaving = new Set<string>();
 
-  /** Actions that come in pairs mean the same target by the same name. */
   function target(name: string): FleetTarget {
-    const found = targets.find(name);
-    if (found === undefined) {
+    const foundTarget = targets.find(name);
+    if (foundTarget === undefined) {
       throw new Error(`no target ${name}`);
     }
-    return found;
+    return foundTarget;
   }
 
   function allHosts(): string[] {
@@ -51,10 +50,10 @@
   }
 
   function isolateFromGroup({host, dataCentre}: FleetTarget): void {
-    const near = cluster.hostsOf(dataCentre);
+    const local = cluster.hostsOf(dataCentre);
     network.cutGroups(
       [host],
-      allHosts().filter(other => !near.includes(other)),
+      allHosts().filter(other => !local.includes(other)),
     );
     const members = targets.targets.map(other => other.host);
     network.cutGroups(
@@ -81,25 +80,28 @@
     delays.get(name)?.();
     const {host} = target(name);
     let count = 0;
-    // Every second answer is late, so that answers come out of order.
+    // Every second answer is delayed, so that answers arrive out of order.
     const cancel = network.delayMessages(
       ({from, isAnswer}) =>
-        from === host && isAnswer && count++ % LATE_ONE_IN === 0,
+        from === host && isAnswer && count++ % DELAYED_ANSWER_INTERVAL === 0,
       duration,
     );
     delays.set(name, cancel);
   }
 
+  /**
+   * Remembers the target, so that thawing by the same role name finds it again.
+   */
   function freezeTarget(name: string): void {
-    const found = target(name);
-    frozen.set(name, found);
-    network.freezeHost(found.host);
+    const foundTarget = target(name);
+    frozen.set(name, foundTarget);
+    network.freezeHost(foundTarget.host);
   }
 
   function thawTarget(name: string): void {
-    const found = frozen.get(name) ?? target(name);
+    const foundTarget = frozen.get(name) ?? target(name);
     frozen.delete(name);
-    network.thawHost(found.host);
+    network.thawHost(foundTarget.host);
   }
 
   function listLeaving(name: string): void {
@@ -139,7 +141,7 @@
     'silence-proxy': silence,
     'cut-data-centre': cutDataCentre,
     'cut-data-centre-from-platform': name =>
-      platform.cutDataCentre(deployment.dataCentres.indexOf(name)),
+      platform.partitionDataCentre(deployment.dataCentres.indexOf(name)),
     'heal-network': () => {
       network.healAll();
       platform.healAll();
--- a/packages/scenarios/src/scenario_language.ts
+++ b/packages/scenarios/src/scenario_language.ts
@@ -1,83 +1,84 @@
 /**
- * The scenario language: a line a statement, `#` starts a comment. Findings of
- * all lines are reported together. `scenarios/README.md` describes it.
+ * Parser of the scenario language: one statement per line, `#` starts a comment.
+ * The findings of all lines are reported together. The language is described in
+ * `scenarios/README.md`.
  */
 import {z} from 'zod';
 import {Err, Ok, Result} from 'ts-results';
 
-const count = z.coerce.number().int().positive();
+const positiveInteger = z.coerce.number().int().positive();
 const time = z.coerce.number().int().nonnegative();
-const word = z.string().regex(/^[a-z0-9][a-z0-9-]*$/);
+const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9-]*$/);
 
-/** Settings of a scenario, each at most once; `name value` in the text. */
+/** Settings of a scenario, written as `name value`. */
 const settingSchemas = {
   deployment: z.enum(['office', 'utility']),
-  proxies: count,
-  groups: count,
-  sessions: count,
-  /** Sessions besides that only read. */
+  proxies: positiveInteger,
+  groups: positiveInteger,
+  sessions: positiveInteger,
+  /** Number of additional sessions that only read. */
   readers: time,
   /** Time between two operations of a session, milliseconds. */
-  period: count,
+  period: positiveInteger,
   /** Share of reads among operations, percent. */
   reads: z.coerce.number().int().min(0).max(100),
-  /** Age that half of the reads state, milliseconds. */
+  /** Staleness bound that half of the reads state, milliseconds. */
   age: time,
   /** Replication lag of every replica, milliseconds. */
   lag: time,
-  /** Deadline of each request after its start, milliseconds. */
-  deadline: count,
+  /** Time from the start of a request to its deadline, milliseconds. */
+  deadline: positiveInteger,
   /** End of the load, milliseconds. */
-  end: count,
-  seeds: count,
+  end: positiveInteger,
+  seeds: positiveInteger,
 } as const;
 
 const settingsSchema = z.object(settingSchemas).partial();
 
-/** Settings that a scenario gives. */
+/** Settings given by a scenario. */
 export type ScenarioSettings = z.infer<typeof settingsSchema>;
 type SettingName = keyof ScenarioSettings;
 
 /**
- * A target: by member id, or by role in the first group (`primary`,
- * `replica-1`, `replica-2`: as it is when the action happens).
+ * A target by member id, or by its role in the first group at the time of the
+ * action: `primary`, `replica-1` or `replica-2`.
  */
-const targetName = word;
-const proxyName = word;
+const targetSchema = nameSchema;
+const proxySchema = nameSchema;
 
-/** Actions by name with the schemas of their arguments. */
+/** Argument schemas of the actions by name. */
 const actionSchemas = {
-  'kill-target': [targetName],
-  'freeze-target': [targetName],
-  'thaw-target': [targetName],
-  'isolate-target': [targetName],
-  /** The target keeps in touch with proxies of its data centre only. */
-  'isolate-from-group': [targetName],
-  'lag-target': [targetName, time],
-  'lose-target-answers': [targetName, count],
-  'kill-proxy': [proxyName],
-  'freeze-proxy': [proxyName],
-  'thaw-proxy': [proxyName],
-  'stop-proxy': [proxyName],
-  'start-proxy': [proxyName],
-  'silence-proxy': [proxyName],
-  'cut-data-centre': [word],
-  'cut-data-centre-from-platform': [word],
+  'kill-target': [targetSchema],
+  'freeze-target': [targetSchema],
+  'thaw-target': [targetSchema],
+  'isolate-target': [targetSchema],
+  /** The target stays connected only to the proxies of its data centre. */
+  'isolate-from-group': [targetSchema],
+  'lag-target': [targetSchema, time],
+  'lose-target-answers': [targetSchema, positiveInteger],
+  'kill-proxy': [proxySchema],
+  'freeze-proxy': [proxySchema],
+  'thaw-proxy': [proxySchema],
+  'stop-proxy': [proxySchema],
+  'start-proxy': [proxySchema],
+  'silence-proxy': [proxySchema],
+  'cut-data-centre': [nameSchema],
+  'cut-data-centre-from-platform': [nameSchema],
   'heal-network': [],
   'platform-down': [],
   'platform-up': [],
   'platform-slow': [time],
-  'platform-loses-answers': [count],
-  'manifest-leaving': [targetName],
-  'list-leaving': [targetName],
-  'commit-race': [count],
-  'delay-target-answers': [targetName, time],
+  'platform-loses-answers': [positiveInteger],
+  'manifest-leaving': [targetSchema],
+  'list-leaving': [targetSchema],
+  'commit-race': [positiveInteger],
+  'delay-target-answers': [targetSchema, time],
 } as const satisfies Record<string, readonly z.ZodType[]>;
 
 /** Name of an action. */
 export type ActionName = keyof typeof actionSchemas;
 
-/** Something that happens at a time, virtual milliseconds. */
+/** An action at a time, virtual milliseconds after the start of the load. */
 export interface ScenarioAction {
   readonly at: number;
   readonly name: ActionName;
@@ -88,35 +89,40 @@
 const expectationSchemas = {
   /** Longest time without a confirmed write after the first action. */
   'write-gap': [time],
-  /** Changes of primary after the bootstrap, exactly. */
+  /** Exact number of primary changes after the bootstrap. */
   'primary-changes': [time],
-  /** Least share of stated-age reads that replicas served, percent. */
+  /**
+   * Minimum share of reads with a staleness bound that replicas served,
+   * percent.
+   */
   'replica-share': [time],
-  /** Longest time to refuse a write that begins a second after the first
-   * action or later and before the last. */
+  /**
+   * Longest time to refuse a write that starts at least a second after the
+   * first action and before the last one.
+   */
   'refusal-time': [time],
-  /** Least share of operations confirmed, percent. */
+  /** Minimum share of confirmed operations, percent. */
   'confirmed-share': [time],
 } as const satisfies Record<string, readonly z.ZodType[]>;
 
 /** Name of an expectation. */
 export type ExpectationName = keyof typeof expectationSchemas;
 
-/** What must hold at the end besides the invariants. */
+/** A condition checked at the end of a run in addition to the invariants. */
 export interface Expectation {
   readonly name: ExpectationName;
   readonly value: number;
   readonly line: number;
 }
 
-/** A scenario as read. */
+/** A parsed scenario. */
 export interface Scenario {
   readonly settings: ScenarioSettings;
   readonly actions: readonly ScenarioAction[];
   readonly expectations: readonly Expectation[];
 }
 
-/** Something wrong in a scenario's text. */
+/** An error in the text of a scenario. */
 export interface ScenarioFinding {
   readonly line: number;
   readonly message: string;
@@ -129,7 +135,7 @@
   readonly findings: ScenarioFinding[];
 }
 
-/** Reads a scenario. */
+/** Parses a scenario; on failure returns all findings. */
 export function readScenario(
   text: string,
 ): Result<Scenario, ScenarioFinding[]> {
@@ -201,7 +207,7 @@
   const [at = '', name = '', ...values] = words;
   const when = time.safeParse(at);
   if (!when.success || at === '') {
-    draft.findings.push({line, message: `not a time: ${at}`});
+    draft.findings.push({line, message: `invalid time: ${at}`});
     return;
   }
   if (!isKey(actionSchemas, name)) {
@@ -239,13 +245,13 @@
   values: readonly string[],
 ): Result<Array<string | number>, string> {
   if (schemas.length !== values.length) {
-    return Err(`takes ${schemas.length} arguments, got ${values.length}`);
+    return Err(`expected ${schemas.length} arguments, got ${values.length}`);
   }
   const parsed: Array<string | number> = [];
   for (const [index, schema] of schemas.entries()) {
     const value = schema.safeParse(values[index]);
     if (!value.success) {
-      return Err(`argument ${index + 1} is wrong: ${values[index]}`);
+      return Err(`invalid argument ${index + 1}: ${values[index]}`);
     }
     parsed.push(value.data as string | number);
   }
--- a/packages/scenarios/src/seeded_runs.ts
+++ b/packages/scenarios/src/seeded_runs.ts
@@ -1,40 +1,40 @@
-/** Many seeded runs, each of which can be replayed from its seed. */
+/** Runs of consecutive seeds; each can be replayed from its seed. */
 import {runScenario} from './run_scenario';
 import {Scenario, readScenario} from './scenario_language';
 import {writeFaultScript} from './fault_scripts';
 
-/** What a run found, in words; empty if all held. */
+/** Findings of a run as text; empty if all checks passed. */
 export interface SeededRun {
   readonly seed: number;
   readonly findings: readonly string[];
 }
 
-/** The scenario of a seed: the given one, or random faults. */
-export function scenarioOfSeed(seed: number, given?: Scenario): Scenario {
-  return given ?? readScenario(writeFaultScript(seed)).unwrap();
+/** Returns the given scenario, or random faults drawn from the seed. */
+export function scenarioForSeed(seed: number, scenario?: Scenario): Scenario {
+  return scenario ?? readScenario(writeFaultScript(seed)).unwrap();
 }
 
-/** Runs a seed; a run that breaks off is a finding too. */
-export function runSeed(seed: number, given?: Scenario): SeededRun {
+/** Runs a seed; an exception is reported as a finding. */
+export function runSeed(seed: number, scenario?: Scenario): SeededRun {
   try {
-    const report = runScenario(scenarioOfSeed(seed, given), seed);
+    const report = runScenario(scenarioForSeed(seed, scenario), seed);
     const violations = report.violations.map(
       ({invariant, operation, message}) =>
         `${invariant}, operation ${operation}: ${message}`,
     );
     return {seed, findings: [...violations, ...report.unmet]};
   } catch (error: unknown) {
-    return {seed, findings: [`run broke off: ${String(error)}`]};
+    return {seed, findings: [`run failed with an exception: ${String(error)}`]};
   }
 }
 
-/** Runs consecutive seeds and gives those with findings. */
+/** Runs consecutive seeds and returns those with findings. */
 export function findFailingSeeds(
   first: number,
   runs: number,
-  given?: Scenario,
+  scenario?: Scenario,
 ): SeededRun[] {
-  // ts-results takes a stack trace for each failure: a sixth of a run's time.
+  // ts-results captures a stack trace for each `Err`: a sixth of a run's time.
   const limit = Error.stackTraceLimit;
   Error.stackTraceLimit = 0;
   try {
@@ -43,14 +43,14 @@
       (unusedItem, index) => first + index,
     );
     return seeds
-      .map(seed => runSeed(seed, given))
+      .map(seed => runSeed(seed, scenario))
       .filter(({findings}) => findings.length > 0);
   } finally {
     Error.stackTraceLimit = limit;
   }
 }
 
-/** A failing run in words, with the command that replays it. */
+/** Describes a failing run, with the command that replays it. */
 export function describeSeededRun(
   {seed, findings}: SeededRun,
   scenarioFile?: string,
--- a/packages/scenarios/src/session_load.ts
+++ b/packages/scenarios/src/session_load.ts
@@ -1,7 +1,7 @@
 /**
- * Sessions that read and write through any proxy, as callers do: they carry
- * their token along, repeat a request with the same key when its outcome is
- * unknown, and come back when they are told to.
+ * Sessions that read and write through any proxy, as callers do. They send their
+ * session token, retry with the same idempotency key when an outcome is unknown,
+ * and wait for `retryAfter` between attempts.
  */
 import {
   ErrorName,
@@ -22,7 +22,7 @@
 import {CallerReply, ReachableProxy, callProxy} from './caller_link';
 import {History, Operation, recordText, sessionList} from './history';
 
-/** What a session is made of. */
+/** Options of `runSession`. */
 export interface SessionOptions {
   readonly name: string;
   readonly timer: TimerService;
@@ -33,14 +33,16 @@
   readonly period: Milliseconds;
   /** Share of reads among operations, percent. */
   readonly reads: number;
-  /** Age that half of the reads state. */
+  /** Staleness bound that half of the reads state. */
   readonly age: Milliseconds;
   readonly deadline: Milliseconds;
-  /** Monotonic time of the last operation. */
+  /** Monotonic time after which no operation starts. */
   readonly end: Milliseconds;
-  /** Names of all sessions: reads with a stated age look at any list. */
+  /**
+   * Names of the sessions whose lists reads with a staleness bound may read.
+   */
   readonly sessions: readonly string[];
-  /** The proxies that the balancer offers; not empty. */
+  /** Proxies that the load balancer offers; not empty. */
   proxies(): readonly ReachableProxy[];
 }
 
@@ -53,34 +55,34 @@
 });
 type Answer = z.infer<typeof answerSchema>;
 
-/** Attempts of one operation, the first one included. */
+/** Maximum number of attempts per operation, including the first. */
 const MAXIMUM_ATTEMPTS = 4;
-/** Share of transactions among writes, percent. */
-const TRANSACTION_SHARE = 15;
-const COUNTER_SHARE = 15;
-const DEFAULT_RETURN: Milliseconds = 50;
+/** Shares of transactions and counter additions among writes. */
+const TRANSACTION_PERCENT = 15;
+const COUNTER_PERCENT = 15;
+const DEFAULT_BACKOFF_MS: Milliseconds = 50;
 
 interface Attempt {
   readonly answer: Answer | undefined;
   readonly error: ErrorName | undefined;
-  readonly told: 'confirmed' | 'not_run' | 'unknown';
+  readonly outcome: 'confirmed' | 'not_run' | 'unknown';
   readonly retryAfter: Milliseconds | undefined;
 }
 
 function interpret(reply: CallerReply): Attempt {
-  const nothing = {answer: undefined, error: undefined, retryAfter: undefined};
+  const empty = {answer: undefined, error: undefined, retryAfter: undefined};
   if (reply === 'lost') {
-    return {...nothing, told: 'unknown'};
+    return {...empty, outcome: 'unknown'};
   }
   if (reply.ok) {
     const answer = answerSchema.parse(reply.val);
-    return {...nothing, answer, told: 'confirmed'};
+    return {...empty, answer, outcome: 'confirmed'};
   }
   const {name, outcome, retryAfter} = reply.val;
-  return {answer: undefined, error: name, told: outcome, retryAfter};
+  return {answer: undefined, error: name, outcome, retryAfter};
 }
 
-/** Errors after which the same request with the same key has no chance. */
+/** Errors after which a retry with the same key cannot succeed. */
 const FINAL_ERRORS: ReadonlySet<ErrorName | undefined> = new Set<ErrorName>([
   'KEY_CANCELLED',
   'KEY_EXPIRED',
@@ -89,7 +91,7 @@
   'INVALID_PARAMETERS',
 ]);
 
-/** Runs a session until its end. */
+/** Runs operations of a session until `end`. */
 export function* runSession(options: SessionOptions): Task<void> {
   const {name, timer, random, history, group, latency} = options;
   let token = '';
@@ -101,28 +103,28 @@
     deadline: Milliseconds,
   ): Task<Attempt> {
     const proxy = random.pick(options.proxies());
-    const full = {...parameters, group, token, deadline};
+    const fullParameters = {...parameters, group, token, deadline};
     const reply = yield* waitFor(
-      callProxy(timer, latency, proxy, method, full),
+      callProxy(timer, latency, proxy, method, fullParameters),
     );
     const attempt = interpret(reply);
     token = attempt.answer?.token ?? token;
     return attempt;
   }
 
-  function wallDeadline(operation: Operation): Milliseconds {
+  function wallClockDeadline(operation: Operation): Milliseconds {
     const remaining = operation.deadline - timer.now();
     return timer.wallClock() + Math.ceil(remaining);
   }
 
-  function nameWrite(operation: Operation): IdempotencyKey {
+  function assignKey(operation: Operation): IdempotencyKey {
     const id = `${name}-${operation.id}-${random.hexadecimal(8)}`;
     const key = {id, issuedAt: timer.wallClock()};
     operation.key = key;
     return key;
   }
 
-  function begin(
+  function invoke(
     kind: Operation['kind'],
     statements: readonly Statement[],
     maximumAge?: Milliseconds,
@@ -140,15 +142,15 @@
 
   function complete(
     operation: Operation,
-    told: Attempt['told'],
+    outcome: Attempt['outcome'],
     last: Attempt,
   ): void {
     operation.completedAt = timer.now();
-    operation.outcome = told;
-    if (told === 'confirmed') {
+    operation.outcome = outcome;
+    if (outcome === 'confirmed') {
       operation.confirmedAt = timer.now();
     }
-    if (told === 'unknown') {
+    if (outcome === 'unknown') {
       operation.wasUnknown = true;
     }
     if (last.error !== undefined) {
@@ -162,31 +164,34 @@
     }
   }
 
-  /** Sends a request until it is decided or its attempts are used up. */
-  function* persist(
+  /**
+   * Sends a request until its outcome is final, or until attempts or time run
+   * out.
+   */
+  function* sendWithRetries(
     operation: Operation,
     method: string,
     parameters: object,
   ): Task<void> {
-    const deadline = wallDeadline(operation);
+    const deadline = wallClockDeadline(operation);
     let mayHaveRun = false;
     for (let count = 1; ; count++) {
       const attempt = yield* request(method, parameters, deadline);
       operation.firstAnswerAt ??= timer.now();
-      mayHaveRun ||= attempt.told === 'unknown';
-      const back = attempt.retryAfter ?? DEFAULT_RETURN;
-      const isLate = timer.now() + back >= operation.deadline;
+      mayHaveRun ||= attempt.outcome === 'unknown';
+      const backoff = attempt.retryAfter ?? DEFAULT_BACKOFF_MS;
+      const isLate = timer.now() + backoff >= operation.deadline;
       const isDecided =
-        attempt.told === 'confirmed' || FINAL_ERRORS.has(attempt.error);
+        attempt.outcome === 'confirmed' || FINAL_ERRORS.has(attempt.error);
       if (isDecided || isLate || count === MAXIMUM_ATTEMPTS) {
-        const told =
-          attempt.told === 'not_run' && mayHaveRun && !isDecided
+        const outcome =
+          attempt.outcome === 'not_run' && mayHaveRun && !isDecided
             ? 'unknown'
-            : attempt.told;
-        complete(operation, told, attempt);
+            : attempt.outcome;
+        complete(operation, outcome, attempt);
         return;
       }
-      yield* sleep(back);
+      yield* sleep(backoff);
     }
   }
 
@@ -197,9 +202,13 @@
 
   function* append(): Task<void> {
     const statement = appendStatement();
-    const operation = begin('append', [statement]);
-    const key = nameWrite(operation);
-    yield* persist(operation, 'write', {kind: 'record', statement, key});
+    const operation = invoke('append', [statement]);
+    const key = assignKey(operation);
+    yield* sendWithRetries(operation, 'write', {
+      kind: 'record',
+      statement,
+      key,
+    });
   }
 
   function* addToCounter(): Task<void> {
@@ -207,32 +216,34 @@
       text: 'add ? ?',
       parameters: [`counter-of-${name}`, 1],
     };
-    const operation = begin('counter-add', [statement]);
-    const key = nameWrite(operation);
-    yield* persist(operation, 'write', {statement, key});
+    const operation = invoke('counter-add', [statement]);
+    const key = assignKey(operation);
+    yield* sendWithRetries(operation, 'write', {statement, key});
   }
 
   function* list(): Task<void> {
     const hasAge = random.integer(0, 1) === 0;
-    const of = hasAge ? random.pick(options.sessions) : name;
+    const listOwner = hasAge ? random.pick(options.sessions) : name;
     const statement: Statement = {
       text: 'list ?',
-      parameters: [sessionList(of)],
+      parameters: [sessionList(listOwner)],
     };
     const maximumAge = hasAge ? options.age : undefined;
-    const operation = begin('list', [statement], maximumAge);
-    yield* persist(operation, 'read', {
+    const operation = invoke('list', [statement], maximumAge);
+    yield* sendWithRetries(operation, 'read', {
       kind: 'view',
       statement,
       ...(hasAge ? {maximumAge} : {}),
     });
   }
 
-  /** Two records together; another proxy may serve each step. */
+  /**
+   * Appends two records in a transaction; each request goes to a random proxy.
+   */
   function* transaction(): Task<void> {
     const statements = [appendStatement(), appendStatement()];
-    const operation = begin('transaction', statements);
-    const deadline = wallDeadline(operation);
+    const operation = invoke('transaction', statements);
+    const deadline = wallClockDeadline(operation);
     const begun = yield* request('begin', {}, deadline);
     operation.firstAnswerAt = timer.now();
     const id = begun.answer?.transaction;
@@ -243,21 +254,21 @@
     for (const statement of statements) {
       const parameters = {transaction: id, statement};
       const written = yield* request('write', parameters, deadline);
-      if (written.told !== 'confirmed') {
+      if (written.outcome !== 'confirmed') {
         complete(operation, 'not_run', written);
         yield* request('rollback', {transaction: id}, deadline);
         return;
       }
     }
-    const key = nameWrite(operation);
-    yield* persist(operation, 'commit', {transaction: id, key});
+    const key = assignKey(operation);
+    yield* sendWithRetries(operation, 'commit', {transaction: id, key});
   }
 
   function* write(): Task<void> {
     const choice = random.integer(0, 99);
-    if (choice < TRANSACTION_SHARE) {
+    if (choice < TRANSACTION_PERCENT) {
       yield* transaction();
-    } else if (choice < TRANSACTION_SHARE + COUNTER_SHARE) {
+    } else if (choice < TRANSACTION_PERCENT + COUNTER_PERCENT) {
       yield* addToCounter();
     } else {
       yield* append();
--- a/packages/scenarios/src/statements/fault_simulation.ts
+++ b/packages/scenarios/src/statements/fault_simulation.ts
@@ -20,7 +20,9 @@
 
 const DURATION_MS: Milliseconds = 14_000;
 const MEAN_FAULT_TIME_MS: Milliseconds = 3000;
-/** Added to the seed, so that pairs are drawn independently of the simulation. */
+/**
+ * Added to the seed, so that pairs are drawn independently of the simulation.
+ */
 const PAIR_SEED_OFFSET = 1_000_000;
 
 /** Draws two faults from a seed. */
--- a/packages/scenarios/src/statements/operation_counts.ts
+++ b/packages/scenarios/src/statements/operation_counts.ts
@@ -21,7 +21,10 @@
   statementDurationsSince(time: Milliseconds): readonly Milliseconds[];
   /** Counts of transactions that started at or after a time. */
   transactionCountsSince(time: Milliseconds): CompletionCounts;
-  /** Durations until `busy` of single statements that started in `[from, until)`. */
+  /**
+   * Durations until `busy` of single statements that started in `[from,
+   * until)`.
+   */
   refusalDurationsBetween(
     from: Milliseconds,
     until: Milliseconds,
--- a/packages/scenarios/src/statements/proxy_stubs.ts
+++ b/packages/scenarios/src/statements/proxy_stubs.ts
@@ -1,4 +1,7 @@
-/** Event handlers and the status parser of the proxies in a statement simulation. */
+/**
+ * Event handlers and the status parser of the proxies in a statement
+ * simulation.
+ */
 import type {StatementProxyEvents} from '@kelpstep/gateway';
 import type {StatementAnswer, TargetStatus} from '@kelpstep/statements';
 import {IGNORED_FEED_EVENTS} from '@kelpstep/table-feed';
--- a/packages/scenarios/src/statements/random_faults.ts
+++ b/packages/scenarios/src/statements/random_faults.ts
@@ -95,7 +95,8 @@
       partition(primary, [...replicas, ...endpoints.slice(1)]);
       return;
     case 'isolate primary and a proxy from the store':
-      // Lasts long enough for another target to become primary and accept writes.
+      // Lasts long enough for another target to become primary and accept
+      // writes.
       store.faults.refused = new Set(proxies.slice(0, 1));
       scheduleEnd(() => (store.faults.refused = new Set()));
       partition(primary, [...replicas, ...endpoints.slice(1)]);
--- a/packages/scenarios/src/statements/rule_checker.ts
+++ b/packages/scenarios/src/statements/rule_checker.ts
@@ -236,9 +236,9 @@
         report('commit lost', `${writes.join()} at ${promotion.target}`);
       }
     }
-    const holder = promotersByEpoch.get(promotion.epoch) ?? promotion.holder;
-    promotersByEpoch.set(promotion.epoch, holder);
-    if (holder !== promotion.holder) {
+    const promoter = promotersByEpoch.get(promotion.epoch) ?? promotion.holder;
+    promotersByEpoch.set(promotion.epoch, promoter);
+    if (promoter !== promotion.holder) {
       report('epoch used twice', `${promotion.epoch}`);
     }
   }
--- a/packages/scenarios/src/statements/session_callers.ts
+++ b/packages/scenarios/src/statements/session_callers.ts
@@ -1,4 +1,7 @@
-/** Callers that run single statements and transactions in sessions, in virtual time. */
+/**
+ * Callers that run single statements and transactions in sessions, in virtual
+ * time.
+ */
 import type {ClientAccount} from '@kelpstep/accounts';
 import type {
   CallerConnection,
--- a/packages/scenarios/src/statements/statement_simulation.ts
+++ b/packages/scenarios/src/statements/statement_simulation.ts
@@ -40,7 +40,9 @@
 import {IGNORED_EVENTS, readStatus} from './proxy_stubs';
 import {startSessionCallers} from './session_callers';
 
-/** Size and timing of a simulation; the defaults describe a small deployment. */
+/**
+ * Size and timing of a simulation; the defaults describe a small deployment.
+ */
 export interface StatementSimulationOptions {
   readonly seed: number;
   readonly proxies?: number;
@@ -60,7 +62,10 @@
    * configuration is current; unlimited by default.
    */
   readonly revocation?: Milliseconds;
-  /** Time for which a new connection occupies a slot of its target; 0 by default. */
+  /**
+   * Time for which a new connection occupies a slot of its target; 0 by
+   * default.
+   */
   readonly openingTime?: Milliseconds;
   /** False if proxies do not relay statements to each other. */
   readonly relays?: boolean;
@@ -94,13 +99,19 @@
   /** Stores a changed configuration under the next version. */
   configure(change: Partial<GatewayConfiguration>): void;
   setLeaving(target: string, leaving: boolean): void;
-  /** Share of promotions that are carried out late and not answered, from 0 to 1. */
+  /**
+   * Share of promotions that are carried out late and not answered, from 0 to
+   * 1.
+   */
   latePromotionShare: number;
   /** Share of commands to targets that are carried out late, from 0 to 1. */
   lateTargetCommandShare: number;
   /** Share of answers from targets that are lost, from 0 to 1. */
   lostAnswerShare: number;
-  /** Runs until callers have stopped and work has settled, then checks the rules. */
+  /**
+   * Runs until callers have stopped and work has settled, then checks the
+   * rules.
+   */
   finish(): void;
 }
 
@@ -115,7 +126,10 @@
 const REMOTE_DELAY_MS: Milliseconds = 6;
 const RELAY_PORT = 7000;
 const FEED_PORT = 7001;
-/** Added to the seed, so that the network among proxies has its own random sequence. */
+/**
+ * Added to the seed, so that the network among proxies has its own random
+ * sequence.
+ */
 const RELAY_SEED_OFFSET = 2_000_000;
 const DEFAULT_CONNECTION_LIMIT = 40;
 const DEFAULT_SLOT_COUNT = 3;
--- a/packages/scenarios/src/target_fleet.ts
+++ b/packages/scenarios/src/target_fleet.ts
@@ -1,4 +1,4 @@
-/** The databases of a simulated run. */
+/** Starts and kills the target databases of a simulated run. */
 import {Random, TimerService, createRuntime} from '@kelpstep/runtime';
 import {Database, FakeNetwork, createDatabase} from '@kelpstep/stand-ins';
 import {compareLogPositions} from '@kelpstep/protocol';
@@ -11,7 +11,7 @@
   targetHost,
 } from './deployments';
 
-/** A database process of a run. */
+/** A target database of a run. */
 export interface FleetTarget {
   readonly id: string;
   readonly group: string;
@@ -19,25 +19,25 @@
   readonly host: string;
   readonly address: string;
   readonly database: Database;
-  /** True once it was killed. */
-  isDead(): boolean;
+  /** True after the database was killed. */
+  isKilled(): boolean;
 }
 
-/** The databases of a run. */
+/** The target databases of a run. */
 export interface TargetFleet {
   readonly targets: readonly FleetTarget[];
-  /** By member id, or by its role in the first group as it is now. */
+  /** Finds a target by member id, or by its current role in the first group. */
   find(name: string): FleetTarget | undefined;
-  /** The living member of a group with the newest log. */
+  /** The live member of a group with the highest log position. */
   newest(group: string): FleetTarget | undefined;
-  /** The primary of the highest term among the living. */
+  /** The primary with the highest term among the live members of a group. */
   primary(group: string): FleetTarget | undefined;
-  /** True if all living members of a group hold the primary's log. */
+  /** True if all live members have the term and log position of the primary. */
   isConverged(group: string): boolean;
   kill(target: FleetTarget): void;
 }
 
-/** What the databases are made of. */
+/** Options of `startTargetFleet`. */
 export interface TargetFleetOptions {
   readonly timer: TimerService;
   readonly random: Random;
@@ -47,11 +47,11 @@
   readonly lag: number;
 }
 
-/** Starts the databases: one of each group in each data centre. */
+/** Starts one database per group and data centre. */
 export function startTargetFleet(options: TargetFleetOptions): TargetFleet {
   const {random, network, deployment, groups, lag} = options;
   const targets: FleetTarget[] = [];
-  const dead = new Set<string>();
+  const killedIds = new Set<string>();
 
   function start(group: number, dataCentre: number): void {
     const host = targetHost(dataCentre, group);
@@ -79,16 +79,18 @@
       host,
       address,
       database,
-      isDead: () => dead.has(id),
+      isKilled: () => killedIds.has(id),
     });
   }
 
-  function living(group: string): FleetTarget[] {
-    return targets.filter(target => target.group === group && !target.isDead());
+  function liveMembers(group: string): FleetTarget[] {
+    return targets.filter(
+      target => target.group === group && !target.isKilled(),
+    );
   }
 
   function newest(group: string): FleetTarget | undefined {
-    return living(group).sort((left, right) =>
+    return liveMembers(group).sort((left, right) =>
       compareLogPositions(
         right.database.control.status().end,
         left.database.control.status().end,
@@ -97,7 +99,7 @@
   }
 
   function primary(group: string): FleetTarget | undefined {
-    return living(group)
+    return liveMembers(group)
       .filter(({database}) => database.control.status().role === 'primary')
       .sort(
         (left, right) =>
@@ -107,18 +109,19 @@
   }
 
   function isConverged(group: string): boolean {
-    const leader = primary(group)?.database.control.status();
-    return living(group).every(({database}) => {
+    const currentPrimary = primary(group)?.database.control.status();
+    return liveMembers(group).every(({database}) => {
       const {end, term} = database.control.status();
       return (
-        term === leader?.term && compareLogPositions(end, leader.end) === 0
+        term === currentPrimary?.term &&
+        compareLogPositions(end, currentPrimary.end) === 0
       );
     });
   }
 
   function replicas(group: string): FleetTarget[] {
-    const leader = primary(group) ?? newest(group);
-    return living(group).filter(target => target !== leader);
+    const currentPrimary = primary(group) ?? newest(group);
+    return liveMembers(group).filter(target => target !== currentPrimary);
   }
 
   function find(name: string): FleetTarget | undefined {
@@ -146,7 +149,7 @@
     primary,
     isConverged,
     kill(target) {
-      dead.add(target.id);
+      killedIds.add(target.id);
       network.killHost(target.host);
     },
   };
