--- a/packages/scenarios/__tests__/client_accounts.spec.ts
+++ b/packages/scenarios/__tests__/client_accounts.spec.ts
@@ -10,35 +10,35 @@
   createStatementSimulation,
 } from '../src/statements/statement_simulation';
 
-const DURATION = 14_000;
-const WARM_UP = 4000;
+const DURATION_MS = 14_000;
+const WARM_UP_MS = 4000;
 const SEEDS = [1, 2, 3, 4, 5, 6];
 
-/** More accounts than a proxy has connections to a target. */
-const WORLD = {
-  duration: DURATION,
+/** The number of accounts exceeds a proxy's connections to a target. */
+const DEFAULT_OPTIONS = {
+  duration: DURATION_MS,
   accounts: createAccounts(12, undefined),
   openingTime: 12,
 } as const;
 
-function createWorld(
+function createSimulation(
   seed: number,
   options: Partial<StatementSimulationOptions> = {},
 ): StatementSimulation {
-  return createStatementSimulation({...WORLD, ...options, seed});
+  return createStatementSimulation({...DEFAULT_OPTIONS, ...options, seed});
 }
 
-function shareServed(simulation: StatementSimulation, from: number): number {
+function servedShare(simulation: StatementSimulation, from: number): number {
   const {started, served} = simulation.counts.countsSince(from);
   return served / started;
 }
 
 describe('sessions of client accounts', () => {
-  test('are served over connections that were opened for their account', () => {
+  test('are served over connections opened for their account', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
+      const simulation = createSimulation(seed);
       simulation.finish();
-      const isServed = shareServed(simulation, WARM_UP) > 0.99;
+      const isServed = servedShare(simulation, WARM_UP_MS) > 0.99;
       const broken = simulation.checker.broken();
       expect({seed, broken, isServed}).toEqual({
         seed,
@@ -48,12 +48,12 @@
     }
   });
 
-  test('are served where few proxies hold all connections', () => {
+  test('are served when a few proxies own all connections', () => {
     for (const seed of SEEDS) {
       const fleet = {proxies: 15, sessions: 30, connectionLimit: 20};
-      const simulation = createWorld(seed, fleet);
+      const simulation = createSimulation(seed, fleet);
       simulation.finish();
-      const isServed = shareServed(simulation, WARM_UP) > 0.98;
+      const isServed = servedShare(simulation, WARM_UP_MS) > 0.98;
       const broken = simulation.checker.broken();
       expect({seed, broken, isServed}).toEqual({
         seed,
@@ -63,11 +63,11 @@
     }
   });
 
-  test('keep their accounts apart while faults meet', () => {
+  test('stay separated by account under simultaneous faults', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
+      const simulation = createSimulation(seed);
       const random = createRandom(seed);
-      simulation.timer.after(WARM_UP, () => {
+      simulation.timer.after(WARM_UP_MS, () => {
         startFault(simulation, 'kill proxy', random);
         startFault(simulation, 'crash primary', random);
         startFault(simulation, 'answers lost', random);
@@ -79,22 +79,25 @@
   });
 });
 
-describe('keys that are taken away', () => {
-  const [lost, ...kept] = WORLD.accounts;
-  const without = [{...lost, keyDigests: []}, ...kept] as typeof WORLD.accounts;
+describe('revoked keys', () => {
+  const [revoked, ...others] = DEFAULT_OPTIONS.accounts;
+  const accountsAfterRevocation = [
+    {...revoked, keyDigests: []},
+    ...others,
+  ] as typeof DEFAULT_OPTIONS.accounts;
 
-  function countRefused(simulation: StatementSimulation): number {
+  function countUnauthorized(simulation: StatementSimulation): number {
     return simulation.counts.errors.get('notAuthorized') ?? 0;
   }
 
-  test('serve no statement of an open session, and the others go on', () => {
+  test('are refused in open sessions while other accounts are served', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
-      simulation.timer.advance(WARM_UP);
-      simulation.configure({accounts: without});
+      const simulation = createSimulation(seed);
+      simulation.timer.advance(WARM_UP_MS);
+      simulation.configure({accounts: accountsAfterRevocation});
       simulation.finish();
       const broken = simulation.checker.broken();
-      const isRefused = countRefused(simulation) > 0;
+      const isRefused = countUnauthorized(simulation) > 0;
       expect({seed, broken, isRefused}).toEqual({
         seed,
         broken: [],
@@ -103,14 +106,17 @@
     }
   });
 
-  /** Cuts two proxies off from the store and from the others; gives the runs. */
-  function playCutOff(seed: number, revocation: number | undefined) {
-    const simulation = createWorld(
+  /**
+   * Partitions two proxies from the store and from all other proxies, then
+   * revokes the keys of one account.
+   */
+  function simulatePartition(seed: number, revocation: number | undefined) {
+    const simulation = createSimulation(
       seed,
       revocation === undefined ? {} : {revocation},
     );
     const {timer, relays, proxies} = simulation;
-    timer.advance(WARM_UP);
+    timer.advance(WARM_UP_MS);
     const hosts = proxies.map(simulation.hostOf);
     const [first = '', second = ''] = hosts;
     hosts.slice(2).forEach(host => {
@@ -119,39 +125,41 @@
     });
     relays.cut(first, second);
     simulation.store.faults.refused = new Set(proxies.slice(0, 2));
-    simulation.configure({accounts: without});
+    simulation.configure({accounts: accountsAfterRevocation});
     timer.advance(6000);
     const {broken} = simulation.checker;
     return {
-      isServedByLostKey: broken().some(({rule}) => rule === 'key taken away'),
+      isServedByRevokedKey: broken().some(
+        ({rule}) => rule === 'key taken away',
+      ),
       refused: simulation.counts.errors.get('busy') ?? 0,
     };
   }
 
-  test('serve nothing through a cut-off proxy where that is strict', () => {
+  test('are refused by a partitioned proxy if revocation is strict', () => {
     for (const seed of SEEDS) {
-      const strict = playCutOff(seed, 2500);
+      const strict = simulatePartition(seed, 2500);
       expect({seed, ...strict, isRefused: strict.refused > 0}).toEqual({
         seed,
         ...strict,
-        isServedByLostKey: false,
+        isServedByRevokedKey: false,
         isRefused: true,
       });
     }
   });
 
-  test('are served by a cut-off proxy where it goes on with what it knows', () => {
-    const plays = SEEDS.map(seed => playCutOff(seed, undefined));
-    expect(plays.some(play => play.isServedByLostKey)).toEqual(true);
+  test('are served by a partitioned proxy if revocation is not strict', () => {
+    const results = SEEDS.map(seed => simulatePartition(seed, undefined));
+    expect(results.some(result => result.isServedByRevokedKey)).toEqual(true);
   });
 
-  test('serve nothing through a proxy that the store refuses', () => {
+  test('are refused by a proxy whose requests the store rejects', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
-      simulation.timer.advance(WARM_UP);
+      const simulation = createSimulation(seed);
+      simulation.timer.advance(WARM_UP_MS);
       simulation.store.faults.refused = new Set(simulation.proxies.slice(0, 2));
       simulation.timer.advance(500);
-      simulation.configure({accounts: without});
+      simulation.configure({accounts: accountsAfterRevocation});
       simulation.finish();
       const broken = simulation.checker.broken();
       expect({seed, broken}).toEqual({seed, broken: []});
--- a/packages/scenarios/__tests__/connection_owners_without_connections.spec.ts
+++ b/packages/scenarios/__tests__/connection_owners_without_connections.spec.ts
@@ -2,44 +2,45 @@
 import {describe, test} from 'node:test';
 
 import {createAccounts} from '../src/statements/statement_accounts';
-import {playLossOfPower} from './loss_of_power_play';
+import {simulatePowerLoss} from './power_loss_simulation';
 
-const WARM_UP = 9000;
-const DOWN_TIME = 1000;
-const START_TIME = 300;
-/** Targets hold the dead proxies' connections for the rest of this time. */
-const CALLING_TIME = 6000;
+const WARM_UP_MS = 9000;
+const DOWNTIME_MS = 1000;
+const START_TIME_MS = 300;
+/** Time for which callers continue after the loss of power. */
+const LOAD_TIME_AFTER_LOSS_MS = 6000;
 const SEEDS = [1, 2, 3, 4, 5];
-/** Callers and targets could do several times as many. */
-const LEAST_SERVED = 25;
+/** A fraction of what callers request and targets could serve. */
+const MINIMUM_SERVED = 25;
 
 /**
- * Some holders find targets full and get no connection, others have some: statements
- * go to those. Callers have accounts, so the connection for questions can't be lent.
+ * Some connection owners find targets full and get no connection, so statements
+ * must go to the others. Callers use accounts, so the connection for status
+ * probes cannot serve their statements.
  */
-function playFullTargets(seed: number) {
-  const {world, from} = playLossOfPower(
+function simulateFullTargets(seed: number) {
+  const {simulation, from} = simulatePowerLoss(
     {
       seed,
-      duration: WARM_UP + CALLING_TIME,
+      duration: WARM_UP_MS + LOAD_TIME_AFTER_LOSS_MS,
       proxies: 15,
       sessions: 45,
       connectionLimit: 20,
       accounts: createAccounts(12, undefined),
       openingTime: 12,
     },
-    {warmUp: WARM_UP, downTime: DOWN_TIME, startTime: START_TIME},
+    {warmUp: WARM_UP_MS, downTime: DOWNTIME_MS, startTime: START_TIME_MS},
   );
-  const counts = world.counts.countsSince(from);
-  world.finish();
-  return {counts, broken: world.checker.broken()};
+  const counts = simulation.counts.countsSince(from);
+  simulation.finish();
+  return {counts, broken: simulation.checker.broken()};
 }
 
-describe('holders that targets take no connection from', () => {
-  test('leave their statements to others that have some', () => {
+describe('connection owners whose connections all targets refuse', () => {
+  test('leave their statements to owners that have connections', () => {
     for (const seed of SEEDS) {
-      const {counts, broken} = playFullTargets(seed);
-      const isServing = counts.served >= LEAST_SERVED;
+      const {counts, broken} = simulateFullTargets(seed);
+      const isServing = counts.served >= MINIMUM_SERVED;
       expect({seed, broken, isServing}).toEqual({
         seed,
         broken: [],
--- a/packages/scenarios/__tests__/differential.spec.ts
+++ b/packages/scenarios/__tests__/differential.spec.ts
@@ -1,4 +1,4 @@
-/** Answers compared with those of one database that never fails. */
+/** Compares answers under random faults with those of the naive model. */
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
@@ -16,7 +16,7 @@
 const RUNS = 60;
 
 describe('compared with one database that never fails', () => {
-  test('every session is answered alike under random faults', () => {
+  test('every session receives the same answers under random faults', () => {
     let compared = 0;
     const differences: string[] = [];
     for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
@@ -30,7 +30,7 @@
     expect(compared).toBeGreaterThan(RUNS);
   });
 
-  test('a lost write and a doubled addition are differences', () => {
+  test('a lost write and a duplicated addition are reported', () => {
     const history = createHistory();
     function record(kind: Operation['kind'], text: string, rows: string[][]) {
       const [name, argument] =
--- a/packages/scenarios/__tests__/fault_runs/describe_fault_runs.ts
+++ b/packages/scenarios/__tests__/fault_runs/describe_fault_runs.ts
@@ -1,19 +1,19 @@
-/** Random faults over a range of fixed seeds; each file runs in parallel. */
+/** Runs random faults over ranges of fixed seeds; the files run in parallel. */
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
 import {describeSeededRun, findFailingSeeds} from '../..';
 
 const RUNS_PER_TEST = 25;
-const TIMEOUT_MILLISECONDS = 300_000;
+const TIMEOUT_MS = 300_000;
 
-/** Declares the tests of `runs` seeds from `first` on. */
+/** Declares tests for `runs` consecutive seeds, starting at `first`. */
 export function describeFaultRuns(first: number, runs: number): void {
-  describe('under random faults, singly and in pairs', () => {
+  describe('under one or two random faults', () => {
     for (let seed = first; seed < first + runs; seed += RUNS_PER_TEST) {
       const last = seed + RUNS_PER_TEST - 1;
-      const title = `all promises hold with seeds ${seed} to ${last}`;
-      test(title, {timeout: TIMEOUT_MILLISECONDS}, () => {
+      const title = `all invariants hold with seeds ${seed} to ${last}`;
+      test(title, {timeout: TIMEOUT_MS}, () => {
         const failing = findFailingSeeds(seed, RUNS_PER_TEST);
         expect(failing.map(run => describeSeededRun(run))).toEqual([]);
       });
--- a/packages/scenarios/__tests__/invariants.spec.ts
+++ b/packages/scenarios/__tests__/invariants.spec.ts
@@ -66,7 +66,7 @@
 }
 
 describe('the invariant checker', () => {
-  test('finds nothing in a history that keeps the promises', () => {
+  test('finds no violation in a valid history', () => {
     const run = setUp();
     const record = run.append('confirmed', 1);
     run.append('not_run', 0);
@@ -76,7 +76,7 @@
     expect(run.broken()).toEqual([]);
   });
 
-  test('finds a lost, a doubled and an unwanted record', () => {
+  test('finds a lost, a duplicated and an unwanted record', () => {
     const run = setUp();
     run.append('confirmed', 0);
     run.append('confirmed', 2);
@@ -90,7 +90,7 @@
     ]);
   });
 
-  test('finds a read that misses its own write, or is too old', () => {
+  test('finds a read that misses its own write or exceeds its staleness bound', () => {
     const run = setUp();
     run.append('confirmed', 1);
     run.read([]);
@@ -99,7 +99,7 @@
     expect(run.broken()).toEqual(['read-your-writes', 'age']);
   });
 
-  test('finds the answer of another caller', () => {
+  test("finds another caller's answer", () => {
     const run = setUp();
     run.read(['s9/1']);
     expect(run.broken()).toEqual(['own-answer']);
--- a/packages/scenarios/__tests__/known_red.spec.ts
+++ b/packages/scenarios/__tests__/known_red.spec.ts
@@ -8,7 +8,7 @@
 }
 
 describe('KNOWN-RED.txt', () => {
-  test('lets a run pass over the tests that it names, and over no others', () => {
+  test('allows the failure of the tests that it lists, and of no others', () => {
     const listed = readKnownRed('# why\na.spec.ts "flaky one": cause; issue 4');
     const tap =
       failed('flaky one', 'testCodeFailure') +
@@ -20,14 +20,14 @@
     });
   });
 
-  test('counts a file that breaks off or runs out of time', () => {
+  test('counts a file that fails as a whole and a test that times out', () => {
     const tap =
       failed('packages/a/__tests__/a.spec.ts', 'testCodeFailure') +
       failed('slow', 'testTimeoutFailure');
     expect(judgeRun(tap, []).unexpected.length).toEqual(2);
   });
 
-  test('takes three lines at most, each with a test in quotes', () => {
+  test('accepts at most three lines, each with a quoted test name', () => {
     const four = ['a', 'b', 'c', 'd'].map(name => `"${name}"`).join('\n');
     expect(() => readKnownRed(four)).toThrow('more than 3');
     expect(() => readKnownRed('no name')).toThrow('names no test');
--- a/packages/scenarios/__tests__/lost_primary_load.spec.ts
+++ b/packages/scenarios/__tests__/lost_primary_load.spec.ts
@@ -3,43 +3,44 @@
 
 import {createStatementSimulation} from '../src/statements/statement_simulation';
 
-const WARM_UP = 4000;
-const PROMOTION_TIME = 2500;
-const GAP = 2500;
-/** The primary is found silent. */
-const NOTICE_TIME = 50;
-const COUNTED_TIME = 300;
-/** Statements that started are over. */
-const STATEMENT_TIME = 1000;
-/** A proxy that is cut off asks others first; then it refuses. */
-const AT_ONCE = 300;
+const WARM_UP_MS = 4000;
+const PROMOTION_TIME_MS = 2500;
+const OUTAGE_MS = 2500;
+/** Time within which proxies detect that the primary is unresponsive. */
+const DETECTION_TIME_MS = 50;
+const MEASUREMENT_TIME_MS = 300;
+/** Time within which all started statements have ended. */
+const STATEMENT_TIME_MS = 1000;
+/** A proxy without a primary first tries other proxies, then refuses. */
+const MAXIMUM_REFUSAL_TIME_MS = 300;
 
 describe('statements that need a primary whose replacement takes seconds', () => {
-  test('are refused at once, not held until their time is over', () => {
+  test('are refused immediately instead of waiting until their deadline', () => {
     for (const seed of [1, 2, 3]) {
       const simulation = createStatementSimulation({
         seed,
-        duration: WARM_UP + 2 * GAP,
-        promotionTime: PROMOTION_TIME,
+        duration: WARM_UP_MS + 2 * OUTAGE_MS,
+        promotionTime: PROMOTION_TIME_MS,
       });
       const {timer, group} = simulation;
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       const primary = group.primary()?.target ?? '';
       group.crash(primary);
-      // The loss is noticed first.
-      timer.advance(NOTICE_TIME);
+      // The proxies detect the loss first.
+      timer.advance(DETECTION_TIME_MS);
       const from = timer.now();
-      timer.advance(COUNTED_TIME);
+      timer.advance(MEASUREMENT_TIME_MS);
       const until = timer.now();
-      timer.advance(STATEMENT_TIME);
+      timer.advance(STATEMENT_TIME_MS);
       const times = simulation.counts.refusalDurationsBetween(from, until);
       const longest = Math.max(...times);
       simulation.finish();
-      const isAtOnce = times.length > 0 && longest <= AT_ONCE;
-      expect({seed, broken: simulation.checker.broken(), isAtOnce}).toEqual({
+      const isImmediate =
+        times.length > 0 && longest <= MAXIMUM_REFUSAL_TIME_MS;
+      expect({seed, broken: simulation.checker.broken(), isImmediate}).toEqual({
         seed,
         broken: [],
-        isAtOnce: true,
+        isImmediate: true,
       });
     }
   });
--- a/packages/scenarios/__tests__/power_loss_simulation.ts
+++ b/packages/scenarios/__tests__/power_loss_simulation.ts
@@ -1,4 +1,4 @@
-/** All proxies lose power and start anew while targets hold their connections. */
+/** All proxies lose power and restart; targets keep their connections. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import {
@@ -7,38 +7,38 @@
   createStatementSimulation,
 } from '../src/statements/statement_simulation';
 
-/** How long targets hold the connections from before the loss. */
-const LINGER_TIME: Milliseconds = 3000;
+/** Time for which targets keep connections from before the loss. */
+const LINGER_TIME_MS: Milliseconds = 3000;
 
-/** Times of the play. */
-export interface LossOfPowerTimes {
-  /** Callers run for so long before the loss. */
+/** Durations of the phases. */
+export interface PowerLossTimings {
+  /** Time for which callers run before the loss. */
   readonly warmUp: Milliseconds;
   readonly downTime: Milliseconds;
-  /** Callers find the proxies again, and these their primaries. */
+  /** Time for callers to reconnect and for proxies to find the primary. */
   readonly startTime: Milliseconds;
 }
 
-/** A world at the time when targets let the dead proxies' connections go. */
-export interface LossOfPowerPlay {
-  readonly world: StatementSimulation;
-  /** When proxies had started: what began since is judged. */
+/** The simulation at the time when targets close the former connections. */
+export interface PowerLossResult {
+  readonly simulation: StatementSimulation;
+  /** Time after the restart from which operations are evaluated. */
   readonly from: Milliseconds;
 }
 
-/** Plays a loss of power up to the time when targets hold nothing from before. */
-export function playLossOfPower(
+/** Runs a loss of power until targets close the connections from before it. */
+export function simulatePowerLoss(
   options: StatementSimulationOptions,
-  {warmUp, downTime, startTime}: LossOfPowerTimes,
-): LossOfPowerPlay {
-  const world = createStatementSimulation(options);
-  const {timer, proxies} = world;
+  {warmUp, downTime, startTime}: PowerLossTimings,
+): PowerLossResult {
+  const simulation = createStatementSimulation(options);
+  const {timer, proxies} = simulation;
   timer.advance(warmUp);
-  proxies.forEach(world.cutPower);
+  proxies.forEach(simulation.cutPower);
   timer.advance(downTime);
-  proxies.forEach(world.startProxy);
+  proxies.forEach(simulation.startProxy);
   timer.advance(startTime);
   const from = timer.now();
-  timer.advance(warmUp + LINGER_TIME - from);
-  return {world, from};
+  timer.advance(warmUp + LINGER_TIME_MS - from);
+  return {simulation, from};
 }
--- a/packages/scenarios/__tests__/primary_processes.spec.ts
+++ b/packages/scenarios/__tests__/primary_processes.spec.ts
@@ -16,14 +16,14 @@
 import {expect} from 'earl';
 import {after, before, describe, test} from 'node:test';
 
-import {expectEachOnce} from './process_checks';
+import {expectListedOnce} from './process_checks';
 
-const WRITERS = 4;
-const PAUSE = 5;
-const FEW = 20;
-const PATIENCE = 60_000;
+const WRITER_COUNT = 4;
+const PAUSE_MS = 5;
+const ENTRY_COUNT = 20;
+const FROZEN_REQUEST_TIMEOUT_MS = 60_000;
 const CONNECTION_LIMIT = 20;
-const MORE_THAN_THE_LIMIT = 30;
+const CONNECTION_ATTEMPTS = 30;
 
 describe('a group of database processes', () => {
   const processes = createProcessTable();
@@ -44,38 +44,38 @@
     return startWriteLoad({
       group: PROCESS_GROUP,
       list,
-      writers: WRITERS,
-      pause: PAUSE,
+      writers: WRITER_COUNT,
+      pause: PAUSE_MS,
       proxies: cluster.callerAddresses,
     });
   }
 
   function expectListed(list: string, load: WriteLoad): Promise<void> {
     const proxies = cluster.callerAddresses();
-    return expectEachOnce(PROCESS_GROUP, proxies, list, load.confirmed);
+    return expectListedOnce(PROCESS_GROUP, proxies, list, load.confirmed);
   }
 
-  test('goes on with writes, each once, after its primary is killed', async () => {
+  test('runs each write once after its primary is killed', async () => {
     const load = startLoad('killed');
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     const lost = await cluster.untilPrimary('lima-1');
     const {child, exited} = cluster.database(lost.id);
     child.kill('SIGKILL');
     await exited;
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     const next = await cluster.untilPrimary('lima-2', lost);
     expect(next.term > lost.term).toEqual(true);
 
     await cluster.restartDatabase(lost.id);
     await cluster.untilWhole();
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     await load.stop();
     await expectListed('killed', load);
   });
 
   test('confirms nothing of a primary that thaws after its replacement', async () => {
     const load = startLoad('frozen');
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     const lost = await cluster.untilPrimary('lima-1');
     const {child, address} = cluster.database(lost.id);
     const connection = await connectToTarget(address);
@@ -85,7 +85,7 @@
     (await requestTarget(connection, targetStatus, {})).unwrap();
 
     child.kill('SIGSTOP');
-    // Lies in the frozen primary's buffers until it thaws.
+    // The request stays in the frozen primary's buffers until it thaws.
     const late = requestTarget(
       connection,
       targetExecute,
@@ -94,16 +94,16 @@
         mode: 'write',
         term: lost.term,
       },
-      PATIENCE,
+      FROZEN_REQUEST_TIMEOUT_MS,
     );
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     const next = await cluster.untilPrimary('lima-2', lost);
     child.kill('SIGCONT');
     await late;
     connection.close('answered');
 
     await cluster.untilWhole();
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     await load.stop();
     expect(next.id === lost.id).toEqual(false);
     await expectListed('frozen', load);
@@ -116,18 +116,18 @@
         statement: {text: 'list ?', parameters: ['late']},
         mode: 'read',
       });
-      peer.close('asked');
+      peer.close('list read');
       expect(reply.unwrap().rows).toEqual([]);
     }
   });
 
-  test('keeps its primary and serves while its connections are used up', async () => {
+  test('keeps its primary and serves while its connections are exhausted', async () => {
     await cluster.untilWhole();
     const before = await cluster.untilPrimary('lima-1');
     const {address} = cluster.database(before.id);
     const refused: string[] = [];
     const peers = [];
-    for (let count = 0; count < MORE_THAN_THE_LIMIT; count++) {
+    for (let count = 0; count < CONNECTION_ATTEMPTS; count++) {
       const peer = await connectToTarget(address);
       if (peer !== undefined) {
         peers.push(peer);
@@ -141,11 +141,14 @@
       group: PROCESS_GROUP,
       proxies: cluster.callerAddresses,
     });
-    const entries = Array.from({length: FEW}, (unused, index) => `${index}`);
+    const entries = Array.from(
+      {length: ENTRY_COUNT},
+      (unused, index) => `${index}`,
+    );
     await Promise.all(entries.map(entry => caller.append('crowded', entry)));
     const listed = await caller.list('crowded');
     const during = await cluster.untilPrimary('lima-1');
-    peers.forEach(peer => peer.close('enough'));
+    peers.forEach(peer => peer.close('test completed'));
 
     expect(refused.includes('CONNECTIONS_EXHAUSTED')).toEqual(true);
     expect(listed.sort()).toEqual(entries.sort());
@@ -153,7 +156,7 @@
     await eventually('a free connection', () => askTarget(address));
   });
 
-  test('confirms no write without both replicas, and goes on with them', async () => {
+  test('confirms no write without both replicas, and serves again with them', async () => {
     const primary = await cluster.untilWhole();
     const caller = createSessionCaller({
       group: PROCESS_GROUP,
@@ -175,8 +178,8 @@
     await caller.append('alone', 'after');
     const listed = await caller.list('alone');
     expect(listed.includes('before') && listed.includes('after')).toEqual(true);
-    const mayBeThere = reply.err && reply.val.outcome === 'unknown';
-    const isThere = listed.includes('without a majority');
-    expect(isThere && !mayBeThere).toEqual(false);
+    const mayBePresent = reply.err && reply.val.outcome === 'unknown';
+    const isPresent = listed.includes('without a majority');
+    expect(isPresent && !mayBePresent).toEqual(false);
   });
 });
--- a/packages/scenarios/__tests__/process_checks.ts
+++ b/packages/scenarios/__tests__/process_checks.ts
@@ -1,9 +1,9 @@
-/** What must hold at the end of a test on processes. */
+/** Checks at the end of tests that run processes. */
 import {ConfirmedEntry, createSessionCaller} from '..';
 import {expect} from 'earl';
 
-/** Checks that each confirmed entry is in the list exactly once. */
-export async function expectEachOnce(
+/** Expects exactly the confirmed entries in the list, each once. */
+export async function expectListedOnce(
   group: string,
   proxies: readonly string[],
   list: string,
--- a/packages/scenarios/__tests__/proxy_processes.spec.ts
+++ b/packages/scenarios/__tests__/proxy_processes.spec.ts
@@ -20,19 +20,19 @@
   startWriteLoad,
   untilExited,
 } from '..';
-import {expectEachOnce} from './process_checks';
+import {expectListedOnce} from './process_checks';
 
 const PROXIES = ['lima-1', 'lima-2', 'lima-3'];
-const WRITERS = 4;
-const PAUSE = 5;
-const FEW = 20;
-const ATTEMPT_TIME = 1000;
-/** Replicas this far behind let no write be confirmed meanwhile. */
-const STANDSTILL = 4000;
-const SHORT_LAG = 1000;
+const WRITER_COUNT = 4;
+const PAUSE_MS = 5;
+const ENTRY_COUNT = 20;
+const ATTEMPT_TIMEOUT_MS = 1000;
+/** Lag beyond the attempt timeout, so that no write is confirmed. */
+const BLOCKING_LAG_MS = 4000;
+const SHORT_LAG_MS = 1000;
 const {begin, write, commit, outcome} = CALLER_METHODS;
 
-describe('proxy processes before a group', () => {
+describe('proxy processes in front of a group', () => {
   const processes = createProcessTable();
   let cluster: ProcessCluster;
 
@@ -58,15 +58,15 @@
     return startWriteLoad({
       group: PROCESS_GROUP,
       list,
-      writers: WRITERS,
-      pause: PAUSE,
+      writers: WRITER_COUNT,
+      pause: PAUSE_MS,
       proxies: cluster.callerAddresses,
-      attemptTime: ATTEMPT_TIME,
+      attemptTime: ATTEMPT_TIMEOUT_MS,
     });
   }
 
-  /** A session that is sent to the named proxies in turn. */
-  function callerAt(...names: string[]) {
+  /** Creates a caller whose requests go to the named proxies in turn. */
+  function createCallerFor(...names: string[]) {
     return createSessionCaller({
       group: PROCESS_GROUP,
       proxies: () => names.map(name => proxy(name).callers),
@@ -90,29 +90,29 @@
     return status?.end.position ?? 0;
   }
 
-  /** Kills lima-1 once the primary holds one more record than before. */
-  async function killAfterEffect(send: () => Promise<unknown>): Promise<void> {
+  /** Sends a request and kills lima-1 once the primary holds its record. */
+  async function killAfterRecord(send: () => Promise<unknown>): Promise<void> {
     const end = await primaryEnd();
-    const lost = send();
+    const pending = send();
     await eventually('the record at the primary', async () =>
       (await primaryEnd()) > end ? true : undefined,
     );
     await kill('lima-1');
-    await lost;
+    await pending;
   }
 
   async function kill(name: string): Promise<void> {
-    const lost = proxy(name);
-    lost.child.kill('SIGKILL');
-    await untilExited(lost);
+    const killed = proxy(name);
+    killed.child.kill('SIGKILL');
+    await untilExited(killed);
   }
 
-  test('run a write once whose proxy died before it was confirmed', async () => {
+  test('run a write once if its proxy is killed before the confirmation', async () => {
     const statement = appendStatement('resent', 'sludge');
     const request = {statement, key: newKey()};
-    const caller = callerAt('lima-2');
-    await setLag(STANDSTILL);
-    await killAfterEffect(() =>
+    const caller = createCallerFor('lima-2');
+    await setLag(BLOCKING_LAG_MS);
+    await killAfterRecord(() =>
       caller.sendOnce(proxy('lima-1').callers, write, request),
     );
     await setLag(0);
@@ -123,9 +123,9 @@
     expect(listed).toEqual(['sludge']);
   });
 
-  test('leave nothing of a transaction whose proxy died', async () => {
+  test('leave nothing of a transaction whose proxy is killed', async () => {
     await cluster.untilInForce('lima-1', 1);
-    const caller = callerAt('lima-1');
+    const caller = createCallerFor('lima-1');
     const {transaction} = await caller.send(begin, {});
     const statement = appendStatement('unfinished', 'first');
     await caller.send(write, {statement, transaction});
@@ -133,16 +133,16 @@
     const reply = await caller.sendOnce(proxy('lima-2').callers, commit, {
       transaction,
     });
-    const listed = await callerAt('lima-2').list('unfinished');
+    const listed = await createCallerFor('lima-2').list('unfinished');
     await cluster.startProxy('lima-1');
     expect(reply.err && reply.val.outcome).toEqual('not_run');
     expect(listed).toEqual([]);
   });
 
-  test('settle a commit whose proxy died before it was confirmed', async () => {
+  test('report the outcome of a commit whose proxy is killed before the confirmation', async () => {
     await cluster.untilInForce('lima-1', 1);
     const {callers} = proxy('lima-1');
-    const caller = callerAt('lima-2');
+    const caller = createCallerFor('lima-2');
     const begun = await caller.sendOnce(callers, begin, {});
     const {transaction} = begun.unwrap();
     for (const entry of ['first', 'second']) {
@@ -152,8 +152,8 @@
       ).unwrap();
     }
     const key = newKey();
-    await setLag(STANDSTILL);
-    await killAfterEffect(() =>
+    await setLag(BLOCKING_LAG_MS);
+    await killAfterRecord(() =>
       caller.sendOnce(callers, commit, {transaction, key}),
     );
     await setLag(0);
@@ -165,39 +165,41 @@
   });
 
   for (const name of PROXIES) {
-    test(`go on without ${name}, frozen over a promotion`, async () => {
+    test(`serve without ${name}, frozen during a promotion`, async () => {
       const list = `frozen-${name}`;
       const other = PROXIES.find(candidate => candidate !== name) ?? '';
       const load = startLoad(list);
-      await load.untilConfirmed(FEW);
-      const lost = await cluster.untilPrimary(other);
+      await load.untilConfirmed(ENTRY_COUNT);
+      const killed = await cluster.untilPrimary(other);
       proxy(name).child.kill('SIGSTOP');
-      cluster.database(lost.id).child.kill('SIGKILL');
-      const next = await cluster.untilPrimary(other, lost);
-      await load.untilConfirmed(FEW);
+      cluster.database(killed.id).child.kill('SIGKILL');
+      const next = await cluster.untilPrimary(other, killed);
+      await load.untilConfirmed(ENTRY_COUNT);
       proxy(name).child.kill('SIGCONT');
-      const learned = await cluster.untilPrimary(name, lost);
-      await load.untilConfirmed(FEW);
-      await cluster.restartDatabase(lost.id);
-      const atLast = await cluster.untilWhole();
+      const learned = await cluster.untilPrimary(name, killed);
+      await load.untilConfirmed(ENTRY_COUNT);
+      await cluster.restartDatabase(killed.id);
+      const final = await cluster.untilWhole();
       await load.stop();
       expect(learned.id).toEqual(next.id);
-      expect(atLast).toEqual(next);
+      expect(final).toEqual(next);
       const proxies = cluster.callerAddresses();
-      await expectEachOnce(PROCESS_GROUP, proxies, list, load.confirmed);
+      await expectListedOnce(PROCESS_GROUP, proxies, list, load.confirmed);
     });
   }
 
   test('finish requests and transactions before they stop', async () => {
-    const caller = callerAt('lima-2');
+    const caller = createCallerFor('lima-2');
     const stopped = proxy('lima-1');
     const {callers, child} = stopped;
     const begun = await caller.sendOnce(callers, begin, {});
     const {transaction} = begun.unwrap();
-    await setLag(SHORT_LAG);
+    await setLag(SHORT_LAG_MS);
     const end = await primaryEnd();
     const statement = appendStatement('stopped', 'in flight');
-    const inFlight = callerAt('lima-1').sendOnce(callers, write, {statement});
+    const inFlight = createCallerFor('lima-1').sendOnce(callers, write, {
+      statement,
+    });
     await eventually('the record at the primary', async () =>
       (await primaryEnd()) > end ? true : undefined,
     );
@@ -220,14 +222,14 @@
     const load = startLoad('replaced');
     const codes: (number | null)[] = [];
     for (const name of PROXIES) {
-      await load.untilConfirmed(FEW);
+      await load.untilConfirmed(ENTRY_COUNT);
       const replaced = proxy(name);
       replaced.child.kill('SIGTERM');
       codes.push((await untilExited(replaced)).code);
       await cluster.startProxy(name);
       await cluster.untilInForce(name, 1);
     }
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     await load.stop();
     const definite = new Set(['STOPPING', 'NOT_READY']);
     const others = load
@@ -237,33 +239,33 @@
     expect(codes).toEqual(PROXIES.map(() => 0));
     expect(others).toEqual([]);
     const proxies = cluster.callerAddresses();
-    await expectEachOnce(PROCESS_GROUP, proxies, 'replaced', load.confirmed);
+    await expectListedOnce(PROCESS_GROUP, proxies, 'replaced', load.confirmed);
   });
 
-  test('fail over while the platform is gone and keep their manifest', async () => {
+  test('fail over and keep their manifest while the platform is stopped', async () => {
     const load = startLoad('alone');
-    await load.untilConfirmed(FEW);
-    const lost = await cluster.untilPrimary('lima-1');
+    await load.untilConfirmed(ENTRY_COUNT);
+    const killed = await cluster.untilPrimary('lima-1');
     cluster.platform().child.kill('SIGKILL');
     await untilExited(cluster.platform());
-    cluster.database(lost.id).child.kill('SIGKILL');
-    const next = await cluster.untilPrimary('lima-1', lost);
-    await load.untilConfirmed(FEW);
+    cluster.database(killed.id).child.kill('SIGKILL');
+    const next = await cluster.untilPrimary('lima-1', killed);
+    await load.untilConfirmed(ENTRY_COUNT);
 
     await kill('lima-3');
     await cluster.startProxy('lima-3');
     await cluster.untilInForce('lima-3', 1);
-    const heard = await cluster.untilPrimary('lima-3', lost);
-    await callerAt('lima-3').append('from a peer', 'entry');
+    const learnedFromPeer = await cluster.untilPrimary('lima-3', killed);
+    await createCallerFor('lima-3').append('from a peer', 'entry');
 
     await cluster.restartPlatform();
-    await load.untilConfirmed(FEW);
+    await load.untilConfirmed(ENTRY_COUNT);
     await load.stop();
     const statuses = await Promise.all(PROXIES.map(cluster.status));
     const versions = statuses.map(status => status?.manifest.version);
-    expect(heard).toEqual(next);
+    expect(learnedFromPeer).toEqual(next);
     expect(versions).toEqual([1, 1, 1]);
     const proxies = cluster.callerAddresses();
-    await expectEachOnce(PROCESS_GROUP, proxies, 'alone', load.confirmed);
+    await expectListedOnce(PROCESS_GROUP, proxies, 'alone', load.confirmed);
   });
 });
--- a/packages/scenarios/__tests__/quotas.spec.ts
+++ b/packages/scenarios/__tests__/quotas.spec.ts
@@ -11,66 +11,69 @@
   createStatementSimulation,
 } from '../src/statements/statement_simulation';
 
-const DURATION = 16_000;
-/** The fleet is known, and its parts of quotas are lent. */
-const WARM_UP = 6000;
-const WINDOW: Milliseconds = 5000;
-const SECOND: Milliseconds = 1000;
+const DURATION_MS = 16_000;
+/** Proxies have discovered each other and hold leases on quota shares. */
+const WARM_UP_MS = 6000;
+const WINDOW_MS: Milliseconds = 5000;
+const SECOND_MS: Milliseconds = 1000;
 const SEEDS = [1, 2, 3, 4];
-/** Keepers may each round one operation up, and there is one in a data centre. */
-const KEEPERS = 3;
+/** One quota coordinator per data centre; each may round up by one. */
+const COORDINATOR_COUNT = 3;
 
 const QUOTA: QuotaLimit = {rate: 12, burst: 12};
-/** Far beyond what callers ask. */
-const AMPLE: QuotaLimit = {rate: 1000, burst: 1000};
-const HOT = 'account-1';
-const COOL = 'account-2';
+/** Far more than the callers request. */
+const AMPLE_QUOTA: QuotaLimit = {rate: 1000, burst: 1000};
+const BUSY_ACCOUNT = 'account-1';
+const OTHER_ACCOUNT = 'account-2';
 
-/** Callers of the first account ask many times its quota. */
-function createWorld(
+/** Callers of the first account request many times its quota. */
+function createSimulation(
   seed: number,
   options: Partial<StatementSimulationOptions> = {},
 ): StatementSimulation {
-  const [hot, cool] = createAccounts(2, QUOTA);
-  const accounts = [hot, cool].flatMap(each => (each ? [each] : []));
+  const [busy, other] = createAccounts(2, QUOTA);
+  const accounts = [busy, other].flatMap(each => (each ? [each] : []));
   return createStatementSimulation({
     seed,
-    duration: DURATION,
+    duration: DURATION_MS,
     proxies: 6,
     sessions: 24,
     connectionLimit: 30,
     accounts: accounts.map(each =>
-      each.name === COOL ? {...each, quota: AMPLE} : each,
+      each.name === OTHER_ACCOUNT ? {...each, quota: AMPLE_QUOTA} : each,
     ),
     ...options,
   });
 }
 
-/** The most operations that were both sent and run within one window. */
-function mostInWindow(operations: readonly RunOperation[]): number {
+/** Maximum number of operations both sent and run within one window. */
+function maximumInWindow(operations: readonly RunOperation[]): number {
   const counts = operations.map(
     ({sentAt: start}) =>
       operations.filter(
-        ({sentAt, ranAt}) => sentAt >= start && ranAt < start + WINDOW,
+        ({sentAt, ranAt}) => sentAt >= start && ranAt < start + WINDOW_MS,
       ).length,
   );
   return Math.max(0, ...counts);
 }
 
-function bound({rate, burst}: QuotaLimit, keepers = KEEPERS): number {
-  return burst + (rate * WINDOW) / SECOND + keepers;
+function maximumOperations(
+  {rate, burst}: QuotaLimit,
+  coordinatorCount = COORDINATOR_COUNT,
+): number {
+  return burst + (rate * WINDOW_MS) / SECOND_MS + coordinatorCount;
 }
 
-/** Ends the play and judges the hot account's operations. */
-function expectWithin(
+/** Finishes the simulation and checks the operations of the busy account. */
+function expectAtMost(
   seed: number,
   simulation: StatementSimulation,
-  most: number,
+  maximum: number,
 ): void {
   simulation.finish();
-  const count = mostInWindow(simulation.checker.operationsOf(HOT));
+  const count = maximumInWindow(simulation.checker.operationsOf(BUSY_ACCOUNT));
   const broken = simulation.checker.broken();
-  expect({seed, broken, isWithin: count <= most, count}).toEqual({
+  expect({seed, broken, isWithin: count <= maximum, count}).toEqual({
     seed,
     broken: [],
     isWithin: true,
@@ -78,32 +81,32 @@
   });
 }
 
-describe('an account that asks many times its quota', () => {
-  test('gets its quota, and no more', () => {
+describe('an account that requests many times its quota', () => {
+  test('receives its quota and no more', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
-      expectWithin(seed, simulation, bound(QUOTA));
+      const simulation = createSimulation(seed);
+      expectAtMost(seed, simulation, maximumOperations(QUOTA));
       const later = simulation.checker
-        .operationsOf(HOT)
-        .filter(({sentAt}) => sentAt >= WARM_UP);
-      const seconds = (DURATION - WARM_UP) / SECOND;
+        .operationsOf(BUSY_ACCOUNT)
+        .filter(({sentAt}) => sentAt >= WARM_UP_MS);
+      const seconds = (DURATION_MS - WARM_UP_MS) / SECOND_MS;
       const isUsed = later.length >= 0.85 * QUOTA.rate * seconds;
       expect({seed, isUsed}).toEqual({seed, isUsed: true});
     }
   });
 
-  test('takes nothing from the others', () => {
+  test('does not reduce the share served of another account', () => {
     for (const seed of SEEDS) {
-      const beside = createWorld(seed);
-      const alone = createWorld(seed, {
+      const shared = createSimulation(seed);
+      const alone = createSimulation(seed, {
         sessions: 12,
-        accounts: createAccounts(2, AMPLE).slice(1),
+        accounts: createAccounts(2, AMPLE_QUOTA).slice(1),
       });
-      const [share, shareAlone] = [beside, alone].map(simulation => {
+      const [share, shareAlone] = [shared, alone].map(simulation => {
         simulation.finish();
         const {started, served} = simulation.counts.countsOfAccount(
-          COOL,
-          WARM_UP,
+          OTHER_ACCOUNT,
+          WARM_UP_MS,
         );
         return served / started;
       }) as [number, number];
@@ -117,92 +120,110 @@
     }
   });
 
-  test('gets no more from two halves that take each other for dead', () => {
+  test('receives no more from two partitioned halves of the fleet', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
+      const simulation = createSimulation(seed);
       const {timer, relays, proxies} = simulation;
       const hosts = proxies.map(simulation.hostOf);
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       relays.cutGroups(hosts.slice(0, 3), hosts.slice(3));
       simulation.store.faults.refused = new Set(proxies.slice(0, 3));
       timer.advance(6000);
       relays.healAll();
       simulation.store.faults.refused = new Set();
-      // Each half may have a keeper for each data centre.
-      expectWithin(seed, simulation, bound(QUOTA, 2 * KEEPERS));
+      // Each half may have a coordinator for each data centre.
+      expectAtMost(
+        seed,
+        simulation,
+        maximumOperations(QUOTA, 2 * COORDINATOR_COUNT),
+      );
     }
   });
 
-  test('gets no more while keepers are killed and start again', () => {
+  test('receives no more while coordinators are killed and restarted', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
+      const simulation = createSimulation(seed);
       const {timer, proxies} = simulation;
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       for (const proxy of proxies) {
         simulation.killProxy(proxy);
         timer.advance(700);
         simulation.startProxy(proxy);
         timer.advance(300);
       }
-      expectWithin(seed, simulation, bound(QUOTA, 2 * KEEPERS));
+      expectAtMost(
+        seed,
+        simulation,
+        maximumOperations(QUOTA, 2 * COORDINATOR_COUNT),
+      );
     }
   });
 
-  test('gets no more when all proxies lose power, and no burst at the start', () => {
+  test('receives no more, and no burst, after all proxies lose power', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
+      const simulation = createSimulation(seed);
       const {timer, proxies} = simulation;
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       proxies.forEach(simulation.cutPower);
       timer.advance(800);
       proxies.forEach(simulation.startProxy);
-      expectWithin(seed, simulation, bound(QUOTA));
+      expectAtMost(seed, simulation, maximumOperations(QUOTA));
     }
   });
 
-  test('gets its part of the tolerance when all proxies start, and no more', () => {
-    const quotaTolerance = {window: WINDOW, overage: 0.1, slack: 10};
+  test('receives its share of the tolerance, and no more, after a full restart', () => {
+    const quotaTolerance = {window: WINDOW_MS, overage: 0.1, slack: 10};
     const allowance = createStartAllowance(quotaTolerance)(QUOTA);
     for (const seed of SEEDS) {
       const served = [undefined, quotaTolerance].map(tolerance => {
-        const simulation = createWorld(
+        const simulation = createSimulation(
           seed,
           tolerance === undefined ? {} : {quotaTolerance: tolerance},
         );
         const {timer, proxies} = simulation;
-        timer.advance(WARM_UP);
+        timer.advance(WARM_UP_MS);
         proxies.forEach(simulation.killProxy);
         timer.advance(800);
         const from = timer.now();
         proxies.forEach(simulation.startProxy);
         timer.advance(3000);
-        const early = simulation.checker
-          .operationsOf(HOT)
+        const ranEarly = simulation.checker
+          .operationsOf(BUSY_ACCOUNT)
           .filter(({ranAt}) => ranAt >= from).length;
-        // Keepers of before and after may each round one up.
-        expectWithin(seed, simulation, bound(QUOTA, 2 * KEEPERS) + allowance);
-        return early;
+        // Coordinators before and after the restart may each round up by one.
+        expectAtMost(
+          seed,
+          simulation,
+          maximumOperations(QUOTA, 2 * COORDINATOR_COUNT) + allowance,
+        );
+        return ranEarly;
       }) as [number, number];
       const isMore = served[1] >= served[0] + allowance / 2;
       expect({seed, isMore, served}).toEqual({seed, isMore: true, served});
     }
   });
 
-  test('is bound by a lower limit, and served at once by a higher one', () => {
+  test('is limited by a lower quota after a configuration change', () => {
     for (const seed of SEEDS) {
-      const simulation = createWorld(seed);
-      const lower = {rate: 3, burst: 3};
-      const [hot, cool] = createAccounts(2, lower);
-      simulation.timer.advance(WARM_UP);
-      simulation.configure({accounts: [hot, cool].flatMap(each => each ?? [])});
+      const simulation = createSimulation(seed);
+      const lowerQuota = {rate: 3, burst: 3};
+      const [busy, other] = createAccounts(2, lowerQuota);
+      simulation.timer.advance(WARM_UP_MS);
+      simulation.configure({
+        accounts: [busy, other].flatMap(each => each ?? []),
+      });
       simulation.timer.advance(5000);
       const from = simulation.timer.now();
       simulation.finish();
       const operations = simulation.checker
-        .operationsOf(HOT)
+        .operationsOf(BUSY_ACCOUNT)
         .filter(({sentAt}) => sentAt >= from);
-      const count = mostInWindow(operations);
-      expect({seed, isWithin: count <= bound(lower), count}).toEqual({
+      const count = maximumInWindow(operations);
+      expect({
+        seed,
+        isWithin: count <= maximumOperations(lowerQuota),
+        count,
+      }).toEqual({
         seed,
         isWithin: true,
         count,
@@ -212,14 +233,14 @@
 });
 
 describe('an account within its quota', () => {
-  const SMALL: QuotaLimit = {rate: 40, burst: 40};
+  const SUFFICIENT_QUOTA: QuotaLimit = {rate: 40, burst: 40};
 
-  test('is served though its callers come to all proxies', () => {
+  test('is served when its callers use all proxies', () => {
     for (const seed of SEEDS) {
-      const accounts = createAccounts(4, SMALL);
-      const simulation = createWorld(seed, {accounts, sessions: 8});
+      const accounts = createAccounts(4, SUFFICIENT_QUOTA);
+      const simulation = createSimulation(seed, {accounts, sessions: 8});
       simulation.finish();
-      const {started, served} = simulation.counts.countsSince(WARM_UP);
+      const {started, served} = simulation.counts.countsSince(WARM_UP_MS);
       const isServed = served / started > 0.99;
       expect({seed, isServed, started, served}).toEqual({
         seed,
@@ -230,12 +251,12 @@
     }
   });
 
-  test('is served while the keeper of its data centre is lost', () => {
+  test('is served during the loss of a quota coordinator', () => {
     for (const seed of SEEDS) {
-      const accounts = createAccounts(4, SMALL);
-      const simulation = createWorld(seed, {accounts, sessions: 8});
+      const accounts = createAccounts(4, SUFFICIENT_QUOTA);
+      const simulation = createSimulation(seed, {accounts, sessions: 8});
       const {timer} = simulation;
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       const from = timer.now();
       simulation.killProxy('proxy-1');
       timer.advance(2500);
--- a/packages/scenarios/__tests__/relayed_statements.spec.ts
+++ b/packages/scenarios/__tests__/relayed_statements.spec.ts
@@ -7,49 +7,49 @@
   createStatementSimulation,
 } from '../src/statements/statement_simulation';
 
-const DURATION = 12_000;
-/** Until then the proxies know each other and have let go what others hold. */
-const WARM_UP = 5000;
-const CUT_TIME = 4000;
-const SETTLE_TIME = 1500;
+const DURATION_MS = 12_000;
+/** Proxies have discovered each other and only owners keep connections. */
+const WARM_UP_MS = 5000;
+const FAULT_TIME_MS = 4000;
+const SETTLING_TIME_MS = 1500;
 const SEEDS = [1, 2, 3];
 const GROUP = 'records';
-const SECOND = 1000;
-/** Of each message to and from a slow proxy. */
-const SLOW_BY = 100;
+const SECOND_MS = 1000;
+/** Delay added to each message to and from a slow proxy. */
+const ADDED_DELAY_MS = 100;
 
-/** More proxies than the targets take connections from: four hold some. */
+/** More proxies than targets accept connections from: four are owners. */
 const FLEET = {
-  duration: DURATION,
+  duration: DURATION_MS,
   proxies: 15,
   sessions: 30,
   connectionLimit: 20,
 } as const;
 
-/** Connections of four holders: three each, and one more for a while. */
-const MOST_CONNECTIONS = 16;
+/** Four owners have three connections each, and temporarily one more. */
+const MAXIMUM_CONNECTIONS = 16;
 
 interface Counts {
   readonly started: number;
   readonly served: number;
 }
 
-interface CutPlay extends Counts {
-  /** Who leads while the cut lasts. */
+interface PartitionResult extends Counts {
+  /** Primary at the end of the partition. */
   readonly primary: string | undefined;
 }
 
-function shareServed({started, served}: Counts): number {
+function servedShare({started, served}: Counts): number {
   return served / started;
 }
 
-function holdersIn(simulation: StatementSimulation): string[] {
+function connectionOwnersIn(simulation: StatementSimulation): string[] {
   return simulation.proxies.filter(
     proxy => simulation.gateway(proxy)?.group(GROUP) !== undefined,
   );
 }
 
-function expectNothingBroken(
+function expectNoViolations(
   seed: number,
   simulation: StatementSimulation,
 ): void {
@@ -60,73 +60,77 @@
   });
 }
 
-/** Cuts one of four proxies off from targets; counts what starts then. */
-function playCut(seed: number, targets: string[], relays: boolean): CutPlay {
+/** Partitions one of four proxies from targets and counts operations. */
+function simulatePartition(
+  seed: number,
+  targets: string[],
+  relays: boolean,
+): PartitionResult {
   const simulation = createStatementSimulation({
     seed,
-    duration: DURATION,
+    duration: DURATION_MS,
     relays,
   });
   const {timer, network, group} = simulation;
-  timer.advance(WARM_UP);
-  const place = simulation.endpointOf('proxy-1');
-  targets.forEach(target => network.cut(place, target));
+  timer.advance(WARM_UP_MS);
+  const endpoint = simulation.endpointOf('proxy-1');
+  targets.forEach(target => network.cut(endpoint, target));
   const from = timer.now();
-  timer.advance(CUT_TIME);
+  timer.advance(FAULT_TIME_MS);
   const counts = simulation.counts.countsSince(from);
   const primary = group.primary()?.target;
-  targets.forEach(target => network.heal(place, target));
-  expectNothingBroken(seed, simulation);
+  targets.forEach(target => network.heal(endpoint, target));
+  expectNoViolations(seed, simulation);
   return {...counts, primary};
 }
 
-describe('statements through other proxies', () => {
-  test('are served where there are more proxies than connections', () => {
+describe('relayed statements', () => {
+  test('are served when only some proxies own connections', () => {
     for (const seed of SEEDS) {
       const simulation = createStatementSimulation({...FLEET, seed});
-      simulation.timer.advance(WARM_UP);
+      simulation.timer.advance(WARM_UP_MS);
       const from = simulation.timer.now();
-      simulation.timer.advance(CUT_TIME);
+      simulation.timer.advance(FAULT_TIME_MS);
       const connections = simulation.group
         .targets()
         .map(target => target.connections());
-      const isWithin = Math.max(...connections) <= MOST_CONNECTIONS;
-      const holders = holdersIn(simulation).length;
-      const isServed = shareServed(simulation.counts.countsSince(from)) > 0.99;
-      expect({seed, isWithin, holders, isServed}).toEqual({
+      const isWithin = Math.max(...connections) <= MAXIMUM_CONNECTIONS;
+      const connectionOwners = connectionOwnersIn(simulation).length;
+      const isServed = servedShare(simulation.counts.countsSince(from)) > 0.99;
+      expect({seed, isWithin, connectionOwners, isServed}).toEqual({
         seed,
         isWithin: true,
-        holders: 4,
+        connectionOwners: 4,
         isServed: true,
       });
-      expectNothingBroken(seed, simulation);
+      expectNoViolations(seed, simulation);
     }
   });
 
-  test('go on when most of the proxies that hold connections are killed', () => {
+  test('are served after most connection owners are killed', () => {
     for (const seed of SEEDS) {
       const simulation = createStatementSimulation({...FLEET, seed});
       const {timer} = simulation;
-      timer.advance(WARM_UP);
-      const killed = holdersIn(simulation).slice(0, 3);
-      killed.forEach(simulation.killProxy);
-      timer.advance(SETTLE_TIME);
+      timer.advance(WARM_UP_MS);
+      const killedOwners = connectionOwnersIn(simulation).slice(0, 3);
+      killedOwners.forEach(simulation.killProxy);
+      timer.advance(SETTLING_TIME_MS);
       const from = timer.now();
-      timer.advance(CUT_TIME - SETTLE_TIME);
-      const isServed = shareServed(simulation.counts.countsSince(from)) > 0.97;
-      killed.forEach(simulation.startProxy);
-      expectNothingBroken(seed, simulation);
+      timer.advance(FAULT_TIME_MS - SETTLING_TIME_MS);
+      const isServed = servedShare(simulation.counts.countsSince(from)) > 0.97;
+      killedOwners.forEach(simulation.startProxy);
+      expectNoViolations(seed, simulation);
       expect({seed, isServed}).toEqual({seed, isServed: true});
     }
   });
 
-  test('reach a primary that only this proxy is cut off from', () => {
+  test('reach a primary from which only their proxy is partitioned', () => {
     for (const seed of SEEDS) {
-      const relayed = playCut(seed, ['target-1'], true);
-      const alone = playCut(seed, ['target-1'], false);
-      const isServed = shareServed(relayed) > 0.97;
-      const primaries = [relayed.primary, alone.primary === 'target-1'];
-      // Without others to ask the proxy takes the primary for lost.
+      const relayed = simulatePartition(seed, ['target-1'], true);
+      const direct = simulatePartition(seed, ['target-1'], false);
+      const isServed = servedShare(relayed) > 0.97;
+      const primaries = [relayed.primary, direct.primary === 'target-1'];
+      // Without relays the proxy assumes that the primary is lost.
       expect({seed, isServed, primaries}).toEqual({
         seed,
         isServed: true,
@@ -135,50 +139,51 @@
     }
   });
 
-  test('reach a group that the proxy is cut off from', () => {
+  test('reach a group from which their proxy is partitioned', () => {
     const all = ['target-1', 'target-2', 'target-3'];
     for (const seed of SEEDS) {
-      const relayed = playCut(seed, all, true);
-      const alone = playCut(seed, all, false);
-      const isServed = shareServed(relayed) > 0.97;
-      // Beside fewer refusals, nobody waits for a change that is given up.
-      const isBetter = relayed.served > 1.1 * alone.served;
-      expect({seed, relayed, alone, isServed, isBetter}).toEqual({
+      const relayed = simulatePartition(seed, all, true);
+      const direct = simulatePartition(seed, all, false);
+      const isServed = servedShare(relayed) > 0.97;
+      // With relays fewer statements are refused, and none waits for a
+      // succession that is abandoned.
+      const isBetter = relayed.served > 1.1 * direct.served;
+      expect({seed, relayed, direct, isServed, isBetter}).toEqual({
         seed,
         relayed,
-        alone,
+        direct,
         isServed: true,
         isBetter: true,
       });
     }
   });
 
-  test('leave a holder that has turned slow to others', () => {
+  test('avoid a connection owner that has become slow', () => {
     for (const seed of SEEDS) {
       const simulation = createStatementSimulation({...FLEET, seed});
       const {timer, relays} = simulation;
-      timer.advance(WARM_UP);
-      const slow = simulation.hostOf(holdersIn(simulation)[0] ?? '');
-      const isConcerned = ({from, to}: MessageInTransit) =>
+      timer.advance(WARM_UP_MS);
+      const slow = simulation.hostOf(connectionOwnersIn(simulation)[0] ?? '');
+      const matches = ({from, to}: MessageInTransit) =>
         from === slow || to === slow;
-      const endDelay = relays.delayMessages(isConcerned, SLOW_BY);
-      timer.advance(SECOND);
+      const cancelDelay = relays.delayMessages(matches, ADDED_DELAY_MS);
+      timer.advance(SECOND_MS);
       const from = timer.now();
-      timer.advance(CUT_TIME - SECOND);
+      timer.advance(FAULT_TIME_MS - SECOND_MS);
       const times = simulation.counts.statementDurationsSince(from);
-      const late = times.filter(time => time > SLOW_BY).length;
-      endDelay();
-      expectNothingBroken(seed, simulation);
+      const late = times.filter(time => time > ADDED_DELAY_MS).length;
+      cancelDelay();
+      expectNoViolations(seed, simulation);
       const isRare = late / times.length < 0.1;
       expect({seed, isRare}).toEqual({seed, isRare: true});
     }
   });
 
-  test('keep every rule when peers fall silent, freeze or are cut', () => {
+  test('violate no rule when peers are unresponsive, frozen or partitioned', () => {
     for (let seed = 1; seed <= 10; seed++) {
       const simulation = createStatementSimulation({...FLEET, seed});
       const {timer, proxies, relays} = simulation;
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       const hosts = proxies.map(simulation.hostOf);
       const frozen = hosts.slice(0, 2);
       hosts
@@ -186,11 +191,11 @@
         .forEach(host => relays.silence(host, hosts[seed] ?? ''));
       relays.cutGroups(hosts.slice(5, 7), hosts.slice(7));
       frozen.forEach(relays.freezeHost);
-      timer.advance(SETTLE_TIME);
+      timer.advance(SETTLING_TIME_MS);
       frozen.forEach(relays.thawHost);
-      timer.advance(SETTLE_TIME);
+      timer.advance(SETTLING_TIME_MS);
       relays.healAll();
-      expectNothingBroken(seed, simulation);
+      expectNoViolations(seed, simulation);
     }
   });
 });
--- a/packages/scenarios/__tests__/scenario_files.spec.ts
+++ b/packages/scenarios/__tests__/scenario_files.spec.ts
@@ -8,13 +8,13 @@
 const DIRECTORY = join(__dirname, '../../../scenarios');
 const SUFFIX = '.scenario';
 const DEFAULT_SEEDS = 3;
-const TIMEOUT_MILLISECONDS = 120_000;
+const TIMEOUT_MS = 120_000;
 
-describe('the scripted scenarios', () => {
+describe('scripted scenarios', () => {
   const files = readdirSync(DIRECTORY).filter(name => name.endsWith(SUFFIX));
   for (const name of files.sort()) {
     const title = name.slice(0, -SUFFIX.length).replaceAll('_', ' ');
-    test(`keep the promises: ${title}`, {timeout: TIMEOUT_MILLISECONDS}, () => {
+    test(`hold all invariants: ${title}`, {timeout: TIMEOUT_MS}, () => {
       const text = readFileSync(join(DIRECTORY, name), 'utf8');
       const scenario = readScenario(text).unwrap();
       const seeds = scenario.settings.seeds ?? DEFAULT_SEEDS;
--- a/packages/scenarios/__tests__/scenario_language.spec.ts
+++ b/packages/scenarios/__tests__/scenario_language.spec.ts
@@ -4,7 +4,7 @@
 import {readScenario} from '..';
 
 describe('the scenario language', () => {
-  test('reads settings, actions and expectations', () => {
+  test('parses settings, actions and expectations', () => {
     const scenario = readScenario(`
       deployment office   # three data centres
       proxies 3
--- a/packages/scenarios/__tests__/statement_sessions.spec.ts
+++ b/packages/scenarios/__tests__/statement_sessions.spec.ts
@@ -4,11 +4,11 @@
 import {drawPair, playFaults} from '../src/statements/fault_simulation';
 import {STATEMENT_FAULTS} from '../src/statements/random_faults';
 
-/** Operations that start after this time find the world whole again. */
-const RECOVERED_AT = 11_500;
+/** Time at which all faults have ended and the simulation has recovered. */
+const RECOVERY_TIME_MS = 11_500;
 
 describe('statement sessions', () => {
-  test('are served on a calm day', () => {
+  test('are served without faults', () => {
     const simulation = playFaults({seed: 1, faults: []});
     const {served, started} = simulation.counts;
     expect(simulation.checker.broken()).toEqual([]);
@@ -17,17 +17,18 @@
   });
 
   for (const fault of STATEMENT_FAULTS) {
-    test(`keep every rule with: ${fault}`, () => {
+    test(`violate no rule under the fault: ${fault}`, () => {
       for (const seed of [1, 2, 3]) {
         const simulation = playFaults({seed, faults: [fault]});
-        const {started, served} = simulation.counts.countsSince(RECOVERED_AT);
+        const {started, served} =
+          simulation.counts.countsSince(RECOVERY_TIME_MS);
         expect(simulation.checker.broken()).toEqual([]);
         expect(served / started > 0.9).toEqual(true);
       }
     });
   }
 
-  test('keep every rule with faults in pairs', () => {
+  test('violate no rule under pairs of faults', () => {
     for (let seed = 1; seed <= 40; seed++) {
       const broken = playFaults({
         seed,
@@ -37,8 +38,9 @@
     }
   });
 
-  test('keep every rule when an old primary hears its replicas late', () => {
-    // The stand-in once acknowledged commits by what came from a later term.
+  test('violate no rule when an old primary receives late acknowledgements', () => {
+    // An acknowledgement of a later term must not confirm commits of an old
+    // primary.
     const seed = 30209;
     const {checker} = playFaults({seed, faults: drawPair(seed)});
     expect(checker.broken()).toEqual([]);
--- a/packages/scenarios/__tests__/store_refusals.spec.ts
+++ b/packages/scenarios/__tests__/store_refusals.spec.ts
@@ -3,19 +3,22 @@
 
 import {createStatementSimulation} from '../src/statements/statement_simulation';
 
-const DURATION = 8000;
-const WARM_UP = 1000;
-/** Bound within which a configuration is to be in force. */
-const IN_FORCE = 3000;
+const DURATION_MS = 8000;
+const WARM_UP_MS = 1000;
+/** Time within which a new configuration must be in force. */
+const STALENESS_BOUND_MS = 3000;
 
-describe('a proxy that the store refuses', () => {
-  test('starts with what its peers know', () => {
-    const simulation = createStatementSimulation({seed: 1, duration: DURATION});
-    simulation.timer.advance(WARM_UP);
+describe('a proxy whose requests the store rejects', () => {
+  test('starts with the tables of its peers', () => {
+    const simulation = createStatementSimulation({
+      seed: 1,
+      duration: DURATION_MS,
+    });
+    simulation.timer.advance(WARM_UP_MS);
     simulation.store.faults.refused = new Set(['proxy-1']);
     simulation.killProxy('proxy-1');
     simulation.startProxy('proxy-1');
-    simulation.timer.advance(IN_FORCE / 2);
+    simulation.timer.advance(STALENESS_BOUND_MS / 2);
     const gateway = simulation.gateway('proxy-1');
     expect(gateway?.configuration.current()?.version).toEqual(1);
     expect(gateway?.group('records')?.leader()?.target).toEqual('target-1');
@@ -23,9 +26,12 @@
     expect(simulation.checker.broken()).toEqual([]);
   });
 
-  test('has a new configuration in force through its peers', () => {
-    const simulation = createStatementSimulation({seed: 2, duration: DURATION});
-    simulation.timer.advance(WARM_UP);
+  test('receives a new configuration from its peers', () => {
+    const simulation = createStatementSimulation({
+      seed: 2,
+      duration: DURATION_MS,
+    });
+    simulation.timer.advance(WARM_UP_MS);
     simulation.store.faults.refused = new Set(['proxy-1']);
     const configuration = simulation
       .gateway('proxy-2')
@@ -34,15 +40,18 @@
       ...configuration,
       version: 2,
     });
-    // Its own feed question ends unanswered only after its whole wait.
-    simulation.timer.advance(2 * IN_FORCE);
+    // The proxy's own feed request ends only after its full wait.
+    simulation.timer.advance(2 * STALENESS_BOUND_MS);
     const proxy = simulation.gateway('proxy-1');
     expect(proxy?.configuration.current()?.version).toEqual(2);
   });
 
-  test('never goes back to an older configuration of a peer', () => {
-    const simulation = createStatementSimulation({seed: 3, duration: DURATION});
-    simulation.timer.advance(WARM_UP);
+  test('never reverts to an older configuration of a peer', () => {
+    const simulation = createStatementSimulation({
+      seed: 3,
+      duration: DURATION_MS,
+    });
+    simulation.timer.advance(WARM_UP_MS);
     const configuration = simulation
       .gateway('proxy-1')
       ?.configuration.current();
@@ -50,7 +59,7 @@
       ...configuration,
       version: 3,
     });
-    simulation.timer.advance(WARM_UP);
+    simulation.timer.advance(WARM_UP_MS);
     simulation.store.faults.refused = new Set(['proxy-1']);
     const versions = new Set<number | undefined>();
     simulation.timer.every(50, () => {
@@ -58,7 +67,7 @@
         simulation.gateway('proxy-1')?.configuration.current()?.version,
       );
     });
-    simulation.timer.advance(IN_FORCE);
+    simulation.timer.advance(STALENESS_BOUND_MS);
     expect([...versions]).toEqual([3]);
   });
 });
--- a/packages/scenarios/__tests__/succession.spec.ts
+++ b/packages/scenarios/__tests__/succession.spec.ts
@@ -3,50 +3,61 @@
 
 import {createStatementSimulation} from '../src/statements/statement_simulation';
 
-const DURATION = 9000;
-const WARM_UP = 3000;
+const DURATION_MS = 9000;
+const WARM_UP_MS = 3000;
 const PRIMARY = 'target-1';
-const PROMOTION_TIME = 300;
-/** Beyond the promotion itself: finding out, deciding and its round trips. */
-const DECISION_TIME = 1000;
+const PROMOTION_TIME_MS = 300;
+/**
+ * Time for detection, decision and round trips, in addition to the promotion.
+ */
+const DECISION_TIME_MS = 1000;
 
-describe('a change of primary', () => {
-  test('stops every replica before one is promoted', () => {
-    const simulation = createStatementSimulation({seed: 1, duration: DURATION});
+describe('a succession', () => {
+  test('pauses every replica before one is promoted', () => {
+    const simulation = createStatementSimulation({
+      seed: 1,
+      duration: DURATION_MS,
+    });
     const {group, timer} = simulation;
-    let sawAllPaused = false;
+    let wereAllPaused = false;
     timer.every(1, () => {
       const others = group.targets().filter(({target}) => target !== PRIMARY);
-      sawAllPaused ||= others.every(target => target.isPaused());
+      wereAllPaused ||= others.every(target => target.isPaused());
     });
-    timer.advance(WARM_UP);
+    timer.advance(WARM_UP_MS);
     group.crash(PRIMARY);
-    timer.advance(DECISION_TIME + PROMOTION_TIME);
-    expect(sawAllPaused).toEqual(true);
+    timer.advance(DECISION_TIME_MS + PROMOTION_TIME_MS);
+    expect(wereAllPaused).toEqual(true);
     expect(group.primary()?.target === PRIMARY).toEqual(false);
   });
 
-  test('after a loss takes a second beside the promotion at most', () => {
+  test('after a loss takes at most one second plus the promotion', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const simulation = createStatementSimulation({seed, duration: DURATION});
-      simulation.timer.advance(WARM_UP);
+      const simulation = createStatementSimulation({
+        seed,
+        duration: DURATION_MS,
+      });
+      simulation.timer.advance(WARM_UP_MS);
       simulation.group.crash(PRIMARY);
       const isReplaced = simulation.timer.runUntil(
         () => simulation.group.primary() !== undefined,
-        DECISION_TIME + PROMOTION_TIME,
+        DECISION_TIME_MS + PROMOTION_TIME_MS,
       );
       expect({seed, isReplaced}).toEqual({seed, isReplaced: true});
     }
   });
 
-  test('that is planned is over before the old primary goes', () => {
+  test('that is planned completes before the old primary stops', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const simulation = createStatementSimulation({seed, duration: DURATION});
-      simulation.timer.advance(WARM_UP);
+      const simulation = createStatementSimulation({
+        seed,
+        duration: DURATION_MS,
+      });
+      simulation.timer.advance(WARM_UP_MS);
       simulation.setLeaving(PRIMARY, true);
       simulation.timer.runUntil(
         () => (simulation.group.primary()?.target ?? PRIMARY) !== PRIMARY,
-        DECISION_TIME + PROMOTION_TIME,
+        DECISION_TIME_MS + PROMOTION_TIME_MS,
       );
       const next = simulation.group.primary()?.target ?? '';
       simulation.finish();
@@ -60,19 +71,19 @@
     }
   });
 
-  test('is not followed by another while its leader is still unknown', () => {
+  test('is not followed by another one while the new primary is unknown', () => {
     for (let seed = 1; seed <= 8; seed++) {
       const simulation = createStatementSimulation({
         seed,
-        duration: 2 * DURATION,
+        duration: 2 * DURATION_MS,
         promotionTime: 1000,
       });
       const {group, timer} = simulation;
       const terms = new Set<number>();
       timer.every(1, () => terms.add(group.primary()?.term() ?? 0));
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       group.crash(PRIMARY);
-      // Nobody knows who led: all wait for the same change to end.
+      // No proxy knows the former primary; all wait for the same succession.
       for (const proxy of simulation.proxies) {
         const known = simulation.gateway(proxy)?.group('records');
         known?.positions.dismissLeader(PRIMARY);
@@ -83,23 +94,24 @@
     }
   });
 
-  test('left half done by its holder is taken over', () => {
+  test('is completed by another proxy if its holder is killed', () => {
     const simulation = createStatementSimulation({
       seed: 1,
-      duration: 2 * DURATION,
-      promotionTime: PROMOTION_TIME,
+      duration: 2 * DURATION_MS,
+      promotionTime: PROMOTION_TIME_MS,
     });
     const {group, timer} = simulation;
-    timer.advance(WARM_UP);
+    timer.advance(WARM_UP_MS);
     group.crash(PRIMARY);
-    // Whoever acts dies as soon as the replicas are stopped.
+    // The holder of the succession is killed as soon as the replicas are
+    // paused.
     timer.runUntil(
       () =>
         group
           .targets()
           .filter(({target}) => target !== PRIMARY)
           .every(target => target.isPaused()),
-      DECISION_TIME,
+      DECISION_TIME_MS,
     );
     const survivor = simulation.proxies[0] ?? '';
     for (const proxy of simulation.proxies) {
@@ -108,30 +120,30 @@
     simulation.startProxy(survivor);
     const isReplaced = timer.runUntil(
       () => group.primary() !== undefined,
-      2 * WARM_UP,
+      2 * WARM_UP_MS,
     );
     simulation.finish();
     expect(isReplaced).toEqual(true);
     expect(simulation.checker.broken()).toEqual([]);
   });
 
-  test('frees writes that no replica receives', () => {
+  test('restores writes when no replica receives them from the primary', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const simulation = createStatementSimulation({
         seed,
-        duration: 2 * DURATION,
+        duration: 2 * DURATION_MS,
       });
       const {group, network, timer} = simulation;
       const replicas = ['target-2', 'target-3'];
-      timer.advance(WARM_UP);
+      timer.advance(WARM_UP_MS);
       replicas.forEach(target => network.cut(PRIMARY, target));
       const isReplaced = timer.runUntil(
         () => replicas.some(name => group.target(name).role() === 'primary'),
-        2 * DECISION_TIME + PROMOTION_TIME,
+        2 * DECISION_TIME_MS + PROMOTION_TIME_MS,
       );
-      timer.advance(DECISION_TIME);
+      timer.advance(DECISION_TIME_MS);
       const from = timer.now();
-      timer.advance(DECISION_TIME);
+      timer.advance(DECISION_TIME_MS);
       const {started, served} = simulation.counts.countsSince(from);
       replicas.forEach(target => network.heal(PRIMARY, target));
       simulation.finish();
@@ -148,12 +160,15 @@
     }
   });
 
-  test('is not made for answers that are lost', () => {
+  test('is not started because of lost answers', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const simulation = createStatementSimulation({seed, duration: DURATION});
-      simulation.timer.advance(WARM_UP);
+      const simulation = createStatementSimulation({
+        seed,
+        duration: DURATION_MS,
+      });
+      simulation.timer.advance(WARM_UP_MS);
       simulation.lostAnswerShare = 0.2;
-      simulation.timer.advance(WARM_UP);
+      simulation.timer.advance(WARM_UP_MS);
       simulation.lostAnswerShare = 0;
       expect({seed, term: simulation.group.target(PRIMARY).term()}).toEqual({
         seed,
--- a/packages/scenarios/src/caller_link.ts
+++ b/packages/scenarios/src/caller_link.ts
@@ -13,10 +13,7 @@
 /** A proxy to which callers can send requests. */
 export interface ReachableProxy {
   readonly name: string;
-  /**
-   * Timer of the process: shows whether it stopped, and defers calls while
-   * frozen.
-   */
+  /** Timer of the process: stopped with it, and defers calls while frozen. */
   readonly process: HostTimer;
   readonly handlers: HandlerTable;
 }
--- a/packages/scenarios/src/cluster_monitor.ts
+++ b/packages/scenarios/src/cluster_monitor.ts
@@ -18,16 +18,10 @@
 }
 
 const POLL_PERIOD_MS: Milliseconds = 10;
-/**
- * Time after the last action from which a leaving target must get no
- * statements.
- */
+/** A leaving target must get no statements this long after the last action. */
 const LEAVING_GRACE_MS: Milliseconds = 2_500;
 
-/**
- * A term that a majority fenced, and the log position that a majority held
- * then.
- */
+/** A term fenced by a majority, and the log position the majority held. */
 interface Fencing {
   readonly term: number;
   readonly fencedAt: Milliseconds;
@@ -85,10 +79,7 @@
     }
   }
 
-  /**
-   * True if the platform's list or an accepted manifest marks a target as
-   * leaving.
-   */
+  /** True if the platform's list or an accepted manifest has it as leaving. */
   function isLeaving(id: string): boolean {
     const isInManifest = cluster.commits.some(
       commit => commit.result?.ok === true && commit.leaving.has(id),
@@ -186,9 +177,7 @@
   return [...numbers].sort((left, right) => right - left);
 }
 
-/**
- * Groups have three members, so a majority holds the second highest position.
- */
+/** Of three members, a majority holds the second highest position. */
 function fencingOf(
   term: number,
   statuses: readonly TargetStatus[],
--- a/packages/scenarios/src/differential.ts
+++ b/packages/scenarios/src/differential.ts
@@ -31,8 +31,8 @@
 /**
  * A session has one request at a time, so operations that were confirmed
  * directly have one order. An operation whose outcome was unknown and later
- * resolved as confirmed may have taken effect at any time since: its records may
- * occur once at any position, which then must not change.
+ * resolved as confirmed may have taken effect at any time since: its records
+ * may occur once at any position, which then must not change.
  */
 function compareSession(operations: readonly Operation[]): Comparison {
   const database = createNaiveDatabase();
@@ -92,20 +92,14 @@
   return {compared, differences};
 }
 
-/**
- * True for a read of another session's list; reads with a staleness bound do
- * that.
- */
+/** Reads with a staleness bound may read another session's list. */
 function isForeignList({kind, session, statements}: Operation): boolean {
   return (
     kind === 'list' && statements[0]?.parameters[0] !== sessionList(session)
   );
 }
 
-/**
- * True for operations that return rows; commits, appends and resolved outcomes
- * have none.
- */
+/** Commits, appends and resolved outcomes return no rows. */
 function isComparable({kind, rows}: Operation): boolean {
   return rows !== undefined && (kind === 'list' || kind === 'counter-add');
 }
--- a/packages/scenarios/src/fault_scripts.ts
+++ b/packages/scenarios/src/fault_scripts.ts
@@ -6,10 +6,7 @@
 /** Text of an action in the scenario language, without its time. */
 type ActionText = string;
 
-/**
- * A fault: the actions that start it and, if it can end, the action that ends
- * it.
- */
+/** A fault: the actions that start it and, if it can end, that end it. */
 interface Fault {
   readonly starts: readonly ActionText[];
   readonly ends?: ActionText;
@@ -32,10 +29,7 @@
 const MAXIMUM_PROXIES = 8;
 const LOAD_END_MS = 2200;
 const FIRST_FAULT_MS = {from: 150, to: 500};
-/**
- * Covers the time before, during and after the detection and recovery of the
- * first fault.
- */
+/** Before, during and after the detection and recovery of the first fault. */
 const SECOND_FAULT_OFFSET_MS = {from: -100, to: 1100};
 const FAULT_DURATION_MS = {from: 20, to: 1200};
 const MAXIMUM_LOST_ANSWERS = 6;
--- a/packages/scenarios/src/history.ts
+++ b/packages/scenarios/src/history.ts
@@ -1,7 +1,4 @@
-/**
- * Operations of sessions and their reported outcomes: input of the invariant
- * checker.
- */
+/** Operations of sessions and their reported outcomes, to be checked. */
 import type {
   ErrorName,
   IdempotencyKey,
--- a/packages/scenarios/src/measurements.ts
+++ b/packages/scenarios/src/measurements.ts
@@ -14,9 +14,7 @@
   readonly writeGap: Milliseconds;
   /** Number of terms with records in the first group's log, minus one. */
   readonly primaryChanges: number;
-  /**
-   * Share that replicas served of the confirmed reads with a staleness bound.
-   */
+  /** Share of confirmed reads with a staleness bound that replicas served. */
   readonly replicaShare: number;
   readonly confirmedShare: number;
   /**
@@ -25,10 +23,7 @@
    * there is none.
    */
   readonly refusalTime: Milliseconds;
-  /**
-   * Number of operations whose reported outcome was unknown before it was
-   * resolved.
-   */
+  /** Number of operations whose outcome was unknown before it was resolved. */
   readonly unknown: number;
 }
 
@@ -42,10 +37,7 @@
   readonly endedAt: Milliseconds;
 }
 
-/**
- * Time for proxies to detect a fault; earlier writes are excluded from
- * `refusalTime`.
- */
+/** Time for proxies to detect a fault; excluded from `refusalTime`. */
 const DETECTION_TIME_MS: Milliseconds = 1000;
 
 /** Computes the measurements of a completed run. */
--- a/packages/scenarios/src/processes/process_cluster.ts
+++ b/packages/scenarios/src/processes/process_cluster.ts
@@ -50,10 +50,7 @@
   startProxy(name: string): Promise<void>;
   /** Status that a proxy reports; undefined if it does not answer. */
   status(proxy: string): Promise<ProxyStatus | undefined>;
-  /**
-   * Waits until the proxy knows a primary other than `previous`, and returns
-   * it.
-   */
+  /** Waits until the proxy knows a primary other than `previous`. */
   untilPrimary(proxy: string, previous?: KnownPrimary): Promise<KnownPrimary>;
   /**
    * Waits until one member is primary, all others follow it and the logs of all
--- a/packages/scenarios/src/processes/session_caller.ts
+++ b/packages/scenarios/src/processes/session_caller.ts
@@ -51,10 +51,7 @@
 }
 
 const DEFAULT_ATTEMPT_TIME_MS = 3000;
-/**
- * Added to the request timeout, so that an answer at the deadline still
- * arrives.
- */
+/** Extends the timeout, so that an answer at the deadline still arrives. */
 const ANSWER_MARGIN_MS = 500;
 const RETRY_BACKOFF_MS = 20;
 /** Longer than a stopping proxy refuses requests before it closes its port. */
--- a/packages/scenarios/src/processes/write_load.ts
+++ b/packages/scenarios/src/processes/write_load.ts
@@ -6,10 +6,7 @@
 import {eventually} from './eventually';
 import {SessionCaller, createSessionCaller} from './session_caller';
 
-/**
- * An entry whose writer received the confirmation. Times are monotonic
- * milliseconds.
- */
+/** A confirmed entry. Times are monotonic milliseconds. */
 export interface ConfirmedEntry {
   readonly entry: string;
   readonly sentAt: number;
--- a/packages/scenarios/src/run_scenario.ts
+++ b/packages/scenarios/src/run_scenario.ts
@@ -156,9 +156,9 @@
 }
 
 /**
- * Waits until targets have converged and all operations are complete. No request
- * outlives the load by more than its deadline, so every late message has arrived
- * by then.
+ * Waits until targets have converged and all operations are complete. No
+ * request outlives the load by more than its deadline, so every late message
+ * has arrived by then.
  */
 function waitUntilSettled(
   {timer, groups, targets}: Cluster,
@@ -175,18 +175,13 @@
   }
 }
 
-/**
- * Proxies that the load balancer offers, or all running ones if it offers none.
- */
+/** Proxies that the balancer offers, or all running ones if there are none. */
 function reachableProxies({proxies}: Cluster): readonly ReachableProxy[] {
   const offered = proxies.offered();
   return offered.length > 0 ? offered : proxies.running();
 }
 
-/**
- * Requests the outcome of each operation whose outcome is unknown, as a caller
- * would.
- */
+/** Requests unknown outcomes through proxies, as a caller would. */
 function resolveUnknownOutcomes(cluster: Cluster, history: History): void {
   const unresolved = history.operations.filter(
     ({outcome, key}) => outcome === 'unknown' && key !== undefined,
--- a/packages/scenarios/src/scenario_actions.ts
+++ b/packages/scenarios/src/scenario_actions.ts
@@ -89,9 +89,7 @@
     delays.set(name, cancel);
   }
 
-  /**
-   * Remembers the target, so that thawing by the same role name finds it again.
-   */
+  /** Remembers the target, so that thawing by the same name finds it again. */
   function freezeTarget(name: string): void {
     const foundTarget = target(name);
     frozen.set(name, foundTarget);
--- a/packages/scenarios/src/scenario_language.ts
+++ b/packages/scenarios/src/scenario_language.ts
@@ -1,7 +1,7 @@
 /**
- * Parser of the scenario language: one statement per line, `#` starts a comment.
- * The findings of all lines are reported together. The language is described in
- * `scenarios/README.md`.
+ * Parser of the scenario language: one statement per line, `#` starts a
+ * comment. The findings of all lines are reported together. The language is
+ * described in `scenarios/README.md`.
  */
 import {z} from 'zod';
 import {Err, Ok, Result} from 'ts-results';
--- a/packages/scenarios/src/session_load.ts
+++ b/packages/scenarios/src/session_load.ts
@@ -1,7 +1,7 @@
 /**
- * Sessions that read and write through any proxy, as callers do. They send their
- * session token, retry with the same idempotency key when an outcome is unknown,
- * and wait for `retryAfter` between attempts.
+ * Sessions that read and write through any proxy, as callers do. They send
+ * their session token, retry with the same idempotency key when an outcome is
+ * unknown, and wait for `retryAfter` between attempts.
  */
 import {
   ErrorName,
@@ -38,9 +38,7 @@
   readonly deadline: Milliseconds;
   /** Monotonic time after which no operation starts. */
   readonly end: Milliseconds;
-  /**
-   * Names of the sessions whose lists reads with a staleness bound may read.
-   */
+  /** Sessions whose lists may be read with a staleness bound. */
   readonly sessions: readonly string[];
   /** Proxies that the load balancer offers; not empty. */
   proxies(): readonly ReachableProxy[];
@@ -164,10 +162,7 @@
     }
   }
 
-  /**
-   * Sends a request until its outcome is final, or until attempts or time run
-   * out.
-   */
+  /** Retries until the outcome is final, or attempts or time run out. */
   function* sendWithRetries(
     operation: Operation,
     method: string,
@@ -237,9 +232,7 @@
     });
   }
 
-  /**
-   * Appends two records in a transaction; each request goes to a random proxy.
-   */
+  /** Appends two records in a transaction through random proxies. */
   function* transaction(): Task<void> {
     const statements = [appendStatement(), appendStatement()];
     const operation = invoke('transaction', statements);
--- a/packages/scenarios/src/statements/fault_simulation.ts
+++ b/packages/scenarios/src/statements/fault_simulation.ts
@@ -20,9 +20,7 @@
 
 const DURATION_MS: Milliseconds = 14_000;
 const MEAN_FAULT_TIME_MS: Milliseconds = 3000;
-/**
- * Added to the seed, so that pairs are drawn independently of the simulation.
- */
+/** Makes the draw of pairs independent of the simulation's seeds. */
 const PAIR_SEED_OFFSET = 1_000_000;
 
 /** Draws two faults from a seed. */
--- a/packages/scenarios/src/statements/proxy_stubs.ts
+++ b/packages/scenarios/src/statements/proxy_stubs.ts
@@ -1,7 +1,4 @@
-/**
- * Event handlers and the status parser of the proxies in a statement
- * simulation.
- */
+/** Event handlers and status parser for proxies in a simulation. */
 import type {StatementProxyEvents} from '@kelpstep/gateway';
 import type {StatementAnswer, TargetStatus} from '@kelpstep/statements';
 import {IGNORED_FEED_EVENTS} from '@kelpstep/table-feed';
--- a/packages/scenarios/src/statements/session_callers.ts
+++ b/packages/scenarios/src/statements/session_callers.ts
@@ -1,7 +1,4 @@
-/**
- * Callers that run single statements and transactions in sessions, in virtual
- * time.
- */
+/** Callers that run statements and transactions in sessions. */
 import type {ClientAccount} from '@kelpstep/accounts';
 import type {
   CallerConnection,
--- a/packages/scenarios/src/statements/statement_simulation.ts
+++ b/packages/scenarios/src/statements/statement_simulation.ts
@@ -62,10 +62,7 @@
    * configuration is current; unlimited by default.
    */
   readonly revocation?: Milliseconds;
-  /**
-   * Time for which a new connection occupies a slot of its target; 0 by
-   * default.
-   */
+  /** Time for which a new connection occupies a target's slot; 0 by default. */
   readonly openingTime?: Milliseconds;
   /** False if proxies do not relay statements to each other. */
   readonly relays?: boolean;
@@ -87,8 +84,8 @@
   gateway(proxy: string): Gateway | undefined;
   killProxy(proxy: string): void;
   /**
-   * Stops a proxy without closing its connections. Targets keep them open until
-   * they detect the loss.
+   * Stops a proxy without closing its connections. Targets keep them open for
+   * `LINGER_TIME_MS`.
    */
   cutPower(proxy: string): void;
   /** Network endpoint of a proxy; each incarnation has its own. */
@@ -99,19 +96,13 @@
   /** Stores a changed configuration under the next version. */
   configure(change: Partial<GatewayConfiguration>): void;
   setLeaving(target: string, leaving: boolean): void;
-  /**
-   * Share of promotions that are carried out late and not answered, from 0 to
-   * 1.
-   */
+  /** Share, 0 to 1, of promotions that run late and are not answered. */
   latePromotionShare: number;
-  /** Share of commands to targets that are carried out late, from 0 to 1. */
+  /** Share, 0 to 1, of commands to targets that run late. */
   lateTargetCommandShare: number;
-  /** Share of answers from targets that are lost, from 0 to 1. */
+  /** Share, 0 to 1, of lost answers from targets. */
   lostAnswerShare: number;
-  /**
-   * Runs until callers have stopped and work has settled, then checks the
-   * rules.
-   */
+  /** Runs until callers have stopped and work has settled; checks the rules. */
   finish(): void;
 }
 
@@ -126,10 +117,7 @@
 const REMOTE_DELAY_MS: Milliseconds = 6;
 const RELAY_PORT = 7000;
 const FEED_PORT = 7001;
-/**
- * Added to the seed, so that the network among proxies has its own random
- * sequence.
- */
+/** Gives the network among proxies a random sequence of its own. */
 const RELAY_SEED_OFFSET = 2_000_000;
 const DEFAULT_CONNECTION_LIMIT = 40;
 const DEFAULT_SLOT_COUNT = 3;
