--- a/packages/failover/src/connection_setup.ts
+++ b/packages/failover/src/connection_setup.ts
@@ -46,7 +46,7 @@
     if (outcome === undefined) {
       dialling.onSettled(late => {
         if (late.ok) {
-          late.val.close('connection attempt abandoned');
+          late.val.close('dialled in vain');
         }
       });
     }
@@ -69,7 +69,7 @@
     return answer ?? Err(NO_ANSWER);
   } finally {
     if (!ended) {
-      peer.close('connection attempt abandoned');
+      peer.close('dialled in vain');
     }
   }
 }
--- a/packages/failover/src/create_member_link.ts
+++ b/packages/failover/src/create_member_link.ts
@@ -106,7 +106,7 @@
     const peer = createRpcPeer({connection: dialled.val, timer});
     const answer = yield* requestFirstStatus(peer, deadline - timer.now());
     if (answer.err) {
-      peer.close('status request on a new connection failed');
+      peer.close('no answer to a fresh connection');
       const exhausted = answer.val.failure.name === 'CONNECTIONS_EXHAUSTED';
       return Err(exhausted ? 'exhausted' : 'unanswered');
     }
@@ -120,7 +120,7 @@
     }
     const replaced = currentPeer;
     currentPeer = peer;
-    replaced?.close('replaced by a new connection');
+    replaced?.close('replaced by a fresh connection');
     lossReason = undefined;
     listenForStatuses(peer);
     isStreaming = false;
--- a/packages/request-ledger/src/transaction_table.ts
+++ b/packages/request-ledger/src/transaction_table.ts
@@ -215,7 +215,7 @@
     return Ok(minimumPosition);
   }
 
-  function endAll(): void {
+  function rollBackAll(): void {
     isStopping = true;
     for (const transaction of [...transactions.values()]) {
       if (!transaction.isBusy) {
@@ -233,6 +233,6 @@
     size: () => transactions.size,
     whenEmpty: () =>
       transactions.size === 0 ? settledFuture(undefined) : emptySignal.future,
-    endAll,
+    endAll: rollBackAll,
   };
 }
--- a/packages/routing/src/group_record.ts
+++ b/packages/routing/src/group_record.ts
@@ -157,7 +157,7 @@
     return members;
   }
 
-  function noteTrouble(): void {
+  function reportPrimaryUnavailable(): void {
     const now = timer.now();
     const isNew =
       outage === undefined || now - outage.notedAt > OUTAGE_MEMORY_MS;
@@ -252,7 +252,7 @@
     troubleSince: () => outage?.since,
     majorityLostSince: () => majorityLostSince,
     isCold: () => timer.now() < coldUntil,
-    noteTrouble,
+    noteTrouble: reportPrimaryUnavailable,
     noteService() {
       outage = undefined;
     },
--- a/packages/succession/src/succession_monitor.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -128,7 +128,7 @@
     missingSince = isMissing ? (missingSince ?? timer.now()) : undefined;
   }
 
-  function findReason(): SuccessionReason | undefined {
+  function findReasonForChange(): SuccessionReason | undefined {
     const leader = group.leader();
     if (leader === undefined) {
       const isOverdue =
@@ -181,7 +181,7 @@
     for (;;) {
       yield* sleep(MONITOR_INTERVAL_MS);
       updateMissingSince();
-      if (findReason() === undefined || mustDefer()) {
+      if (findReasonForChange() === undefined || mustDefer()) {
         continue;
       }
       yield* sleep(MAXIMUM_START_DELAY_MS * random.fraction());
@@ -189,7 +189,7 @@
         yield* sleep(random.jitter(PARTITION_RECHECK_BACKOFF_MS, 0.5));
         continue;
       }
-      const reason = findReason();
+      const reason = findReasonForChange();
       if (reason === 'isolated' && !(yield* steps.isIsolated(group.leader()))) {
         yield* sleep(random.jitter(ISOLATION_RECHECK_BACKOFF_MS, 0.5));
         continue;
@@ -202,7 +202,7 @@
 
   /** True if only this proxy fails to reach the primary. */
   function* isPartitionedFromLeader(): Task<boolean> {
-    const reason = findReason();
+    const reason = findReasonForChange();
     const isUnreachable = reason === 'lost' || reason === 'missing';
     return isUnreachable && (yield* options.isLeaderReachedElsewhere());
   }
