--- a/packages/failover/__tests__/cluster.ts
+++ b/packages/failover/__tests__/cluster.ts
@@ -80,7 +80,6 @@
   readonly groupCount?: number;
 }
 
-/** A proxy of the cluster. */
 export interface TestProxy {
   readonly host: string;
   readonly view: ManagedGroupView;
--- a/packages/failover/__tests__/model_group.ts
+++ b/packages/failover/__tests__/model_group.ts
@@ -1,7 +1,7 @@
 /**
  * Model of a group for property tests. Members are logs that random steps
  * change within the targets' contract. The model has neither time nor messages:
- * a proxy sees snapshots of members that may be arbitrarily old.
+ * a proxy gets snapshots of members that may be arbitrarily old.
  */
 import {LogPosition, TermHistory} from '@kelpstep/protocol';
 
--- a/packages/failover/__tests__/model_membership.ts
+++ b/packages/failover/__tests__/model_membership.ts
@@ -1,7 +1,7 @@
 /**
  * Model of a group with changing members for property tests. Logs contain
  * configurations, and random steps change them within the targets' contract.
- * Observers see snapshots that may be arbitrarily old.
+ * Observers get snapshots of members that may be arbitrarily old.
  */
 import {
   Configuration,
--- a/packages/failover/__tests__/promoters.spec.ts
+++ b/packages/failover/__tests__/promoters.spec.ts
@@ -5,7 +5,7 @@
 import {MEMBERS, MEMBER_HOSTS, createCluster, proxyHost} from './cluster';
 
 const SEEDS = [1, 2, 3, 4];
-/** Delay of a frozen promoter's requests. */
+/** Delay of the requests of a suspended promoter. */
 const LATE_MS = 2500;
 
 type Cluster = ReturnType<typeof createCluster>;
--- a/packages/failover/src/candidate_selection.ts
+++ b/packages/failover/src/candidate_selection.ts
@@ -4,13 +4,13 @@
 import {canVote} from './member_status';
 import {votersOf} from './voters';
 
-/** Criteria of the selection other than the logs. */
+/** Criteria that decide between members whose logs are equally safe. */
 export interface CandidatePreferences {
   /** Number of voters, used if the logs contain no configuration. */
   readonly groupSize: number;
   /** True for members to skip unless no other choice is safe. */
   isAvoided(memberId: string): boolean;
-  /** Decides between candidates with equal logs; the lowest cost wins. */
+  /** Cost of a candidate; of those with equal logs the lowest cost wins. */
   cost(memberId: string): number;
 }
 
--- a/packages/failover/src/confirmation_waiters.ts
+++ b/packages/failover/src/confirmation_waiters.ts
@@ -1,4 +1,7 @@
-/** Requests that wait for records to be confirmed, ordered by record. */
+/**
+ * Keeps the requests that wait for records to be confirmed, in order of the
+ * records' log positions.
+ */
 import {LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import {
   Deferred,
@@ -13,13 +16,18 @@
 import {ConfirmedLog, confirmationOf} from './confirmed_log';
 import type {Confirmation} from './group_view';
 
-/** Waiters; the cost of settling a batch is proportional to its size. */
+/** The cost of settling a batch of waiters is proportional to its size. */
 export interface ConfirmationWaiters {
-  /** Waits until a record is confirmed or superseded, or for the deadline. */
+  /**
+   * Settles once the record is confirmed or superseded, or with `undecided` at
+   * the monotonic deadline.
+   */
   wait(wanted: LogPosition, deadline: Milliseconds): Future<Confirmation>;
-  /** Settles the waiters whose records `confirmed` decides. */
+  /**
+   * Settles all waiters whose records are not above the highest confirmed one.
+   */
   advance(confirmed: ConfirmedLog): void;
-  /** Number of waiters that are not settled. */
+  /** Returns the number of waiters that are not settled. */
   size(): number;
 }
 
@@ -29,7 +37,9 @@
   cancelDeadline: Unsubscribe;
 }
 
-/** Number of settled waiters at the front that triggers their removal. */
+/**
+ * Settled waiters stay at the front of the list until there are more than this.
+ */
 const COMPACTION_SIZE = 1024;
 
 /** Creates an empty list; `current` returns the latest confirmed log. */
--- a/packages/failover/src/confirmed_log.ts
+++ b/packages/failover/src/confirmed_log.ts
@@ -24,7 +24,6 @@
   history: [],
 };
 
-/** Input of `computeConfirmed`. */
 export interface ConfirmationInput {
   /** Last status received from each member, without other targets. */
   readonly logs: readonly MemberLog[];
--- a/packages/failover/src/connection_setup.ts
+++ b/packages/failover/src/connection_setup.ts
@@ -16,7 +16,7 @@
   message: 'No connection in time.',
 };
 
-/** Failure of a request for which there is no connection. */
+/** Failure of a request that was not sent because there is no connection. */
 export const NOT_CONNECTED: RequestFailure = {
   kind: 'closed',
   sent: false,
@@ -32,7 +32,10 @@
   failure: createFailure('OUTCOME_UNKNOWN', {message: 'No answer in time.'}),
 };
 
-/** Dials; closes a connection that is established only after the wait. */
+/**
+ * Opens a connection. If it is established only after the wait has timed out or
+ * was cancelled, it is closed at once.
+ */
 export function* dialWithin(
   transport: Transport,
   address: Address,
@@ -54,7 +57,7 @@
   return outcome ?? Err(DIAL_TIMEOUT);
 }
 
-/** Requests the status; closes the connection if the wait is cancelled. */
+/** Requests the status. Closes the connection if the wait is cancelled. */
 export function* requestFirstStatus(
   peer: RpcPeer,
   timeout: Milliseconds,
--- a/packages/failover/src/create_member_link.ts
+++ b/packages/failover/src/create_member_link.ts
@@ -37,7 +37,6 @@
 import {reconnectBackoff} from './reconnect_backoff';
 import type {FailoverTimings} from './timings';
 
-/** Options of `createMemberLink`. */
 export interface MemberLinkOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -174,7 +173,9 @@
     }
   }
 
-  /** Returns how much longer nothing may arrive before a check is due. */
+  /**
+   * Returns the time until the connection must be checked if nothing arrives.
+   */
   function remainingQuietTime(peer: RpcPeer): Milliseconds {
     const probeInterval = isStreaming ? undefined : options.probeInterval();
     const limit = probeInterval ?? timings.streamTimeout;
@@ -189,8 +190,8 @@
   }
 
   /**
-   * Starts the stream, or replaces the connection to end the stream, because a
-   * target ends a stream only together with its connection.
+   * Changes between stream and probes. To end a stream the connection is
+   * replaced, because a target ends a stream only together with its connection.
    */
   function* switchMode(peer: RpcPeer): Task<RpcPeer> {
     const wantsStream = options.probeInterval() === undefined;
@@ -213,7 +214,7 @@
   }
 
   /**
-   * Tries a new connection. Returns it, or the old one if that has become
+   * Opens a new connection. Returns it, or the old one if that has become
    * responsive meanwhile, or the reason why the new one failed.
    */
   function* replaceUnresponsive(
--- a/packages/failover/src/failure_detector.ts
+++ b/packages/failover/src/failure_detector.ts
@@ -42,20 +42,23 @@
   readonly previous: string | undefined;
   readonly cause: PromotionCause;
   readonly durations: PromotionDurations & {
-    /** Since the former primary's last status, if there was one. */
+    /**
+     * Time since the former primary's last status, or since the start of a
+     * switch-over; `undefined` if the primary had sent no status.
+     */
     readonly sinceHeard: Milliseconds | undefined;
   };
 }
 
-/** A running failure detector. */
 export interface FailureDetector {
   stop(): void;
 }
 
-/** Options of `createFailureDetector`. */
 export interface FailureDetectorOptions {
   readonly context: PromotionContext;
-  /** 0 acts first; `undefined` if this proxy doesn't monitor the group. */
+  /**
+   * Rank of this proxy; 0 acts first, `undefined` does not monitor the group.
+   */
   rank(): number | undefined;
   isLeaving(memberId: string): boolean;
   /** Monotonic time of the probes of the last successful round. */
@@ -70,7 +73,7 @@
 
 const BACKOFF_JITTER = 0.5;
 
-/** Starts to monitor a group. */
+/** Starts to monitor the group of `context` and continues until `stop`. */
 export function createFailureDetector(
   options: FailureDetectorOptions,
 ): FailureDetector {
@@ -81,7 +84,9 @@
   const reconciler = createReconciler(context, options.majorityProbedAt);
   const reconfigurer = createReconfigurer(context);
   let suspicion: Suspicion | undefined;
-  /** Since when replicas report contact with a primary that is lost here. */
+  /**
+   * Time since which replicas report contact with a primary that is lost here.
+   */
   let contactReportedSince: Milliseconds | undefined;
   let nextAttemptAt: Milliseconds = 0;
   let leavingSince: Milliseconds | undefined;
@@ -222,7 +227,10 @@
     });
   }
 
-  /** Random, so that concurrent failure detectors don't collide repeatedly. */
+  /**
+   * Returns a random backoff, so that failure detectors don't collide
+   * repeatedly.
+   */
   function backoff(): Milliseconds {
     return random.jitter(timings.promotionBackoff, BACKOFF_JITTER);
   }
--- a/packages/failover/src/freshness.ts
+++ b/packages/failover/src/freshness.ts
@@ -1,4 +1,4 @@
-/** Bounds the age of the data in a log. */
+/** Computes an upper bound for the age of the data in a log. */
 import {LogPosition, TermHistory, logContains} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
@@ -31,7 +31,7 @@
   );
 }
 
-/** Creates the observations of a group without any round. */
+/** Creates an empty list of observations; it keeps at most 64. */
 export function createFreshness(): Freshness {
   let observations: Observation[] = [];
 
--- a/packages/failover/src/group_directory.ts
+++ b/packages/failover/src/group_directory.ts
@@ -10,7 +10,7 @@
   createGroupView,
 } from './managed_group_view';
 
-/** Views by group name. */
+/** The views of all groups in the manifest, by group name. */
 export interface GroupDirectory {
   /** The view of a group, if the manifest contains the group. */
   find(group: string): ManagedGroupView | undefined;
@@ -30,7 +30,7 @@
   close(): void;
 }
 
-/** Options of `createGroupDirectory`, shared by all its views. */
+/** Options that apply to the views of all groups. */
 export type GroupDirectoryOptions = Omit<
   GroupViewOptions,
   'group' | 'manifestVersion'
--- a/packages/failover/src/group_members.ts
+++ b/packages/failover/src/group_members.ts
@@ -46,7 +46,7 @@
   return left.id === right.id && left.address === right.address;
 }
 
-/** Creates the members of a group of which no log is known yet. */
+/** Starts with the manifest's members as voters, until a log is known. */
 export function createGroupMembers(
   firstGroup: Group,
   firstVersion: number,
@@ -54,7 +54,10 @@
   let group = firstGroup;
   let manifestVersion = firstVersion;
   let configuration: LoggedConfiguration | undefined;
-  /** Members of the current and earlier manifests, by id. */
+  /**
+   * The last description of each member in the current and earlier manifests,
+   * by member id.
+   */
   const knownMembers = new Map<string, Member>();
   let all: readonly Member[] = [];
   let voters = votersOf({}, 0);
@@ -72,7 +75,11 @@
     voters = votersOf({configuration}, group.members.length);
   }
 
-  /** Copies the first member's limits for a member that no manifest lists. */
+  /**
+   * Describes a member of the configuration. If no known manifest lists it at
+   * this address, its slots and connection limit are copied from the group's
+   * first member.
+   */
   function toMember({id, address}: MemberAddress): Member {
     const known = knownMembers.get(id);
     if (known?.address === address) {
--- a/packages/failover/src/group_problem.ts
+++ b/packages/failover/src/group_problem.ts
@@ -7,7 +7,7 @@
 import type {FailoverTimings} from './timings';
 import {majorityOf} from './voters';
 
-/** A member's state as seen by a failure detector. */
+/** State of a member from which a failure detector derives problems. */
 export interface MonitoredMember {
   readonly id: string;
   readonly address: string;
@@ -19,15 +19,17 @@
   readonly reachableFor: Milliseconds;
 }
 
-/** Why a promotion may be needed. */
+/** Kind of problem that may require a promotion. */
 export type ProblemKind =
-  /** Its connection broke or is unresponsive, and a new one has failed. */
+  /**
+   * The primary's connection broke or is unresponsive, and a new one failed.
+   */
   | 'primary_lost'
-  /** It responds, but too few replicas reach it to confirm any record. */
+  /** The primary responds, but too few replicas reach it to confirm records. */
   | 'primary_isolated'
   /** No member is the primary of the highest term. */
   | 'leaderless'
-  /** Members have seen a higher term and refuse the primary's records. */
+  /** Members are at a higher term and refuse the primary's records. */
   | 'split_term'
   /** An interrupted bootstrap: too few members have joined the primary. */
   | 'unconfirmed';
@@ -41,7 +43,6 @@
   readonly primary: string | undefined;
 }
 
-/** Input of `findProblem`. */
 export interface GroupProblemInput {
   /** The voters of the group. */
   readonly members: readonly MonitoredMember[];
--- a/packages/failover/src/group_state.ts
+++ b/packages/failover/src/group_state.ts
@@ -21,7 +21,7 @@
 import type {Leadership} from './group_view';
 import type {MemberLink} from './member_link';
 
-/** Known state of one group; listeners are notified of changes. */
+/** This proxy's knowledge of one group. */
 export interface GroupState {
   readonly freshness: Freshness;
   readonly waiters: ConfirmationWaiters;
@@ -43,13 +43,19 @@
   lastLeadership(): Leadership | undefined;
   /** Member id of the primary of a term, if known. */
   primaryOf(term: number): string | undefined;
-  /** Highest term that a member or another proxy has reported. */
+  /** Highest term in a status, a reply or a reported leadership. */
   highestTerm(): number;
   /** Adopts a confirmed leadership reported by a peer if it is newer. */
   learnLeadership(leadership: Leadership): void;
-  /** Records a term seen in a reply; a lower leadership becomes doubtful. */
+  /**
+   * Records a term from a reply. If it is higher than that of the leadership,
+   * the leadership is in doubt until `clearDoubt`.
+   */
   observeTerm(term: number): void;
-  /** Ends the doubt, after a majority has answered in a primary's term. */
+  /**
+   * Ends the doubt. To be called after a majority has answered in the term of
+   * its primary.
+   */
   clearDoubt(): void;
   /** Replaces the description of the group without opening connections. */
   setGroup(group: Group, manifestVersion: number): void;
@@ -58,11 +64,13 @@
   close(): void;
   /** Calls the listener after each status and each change of the state. */
   onChange(listener: () => void): Unsubscribe;
-  /** Calls the listener when anything other than log positions has changed. */
+  /**
+   * Calls the listener when the leadership, or the condition, role, term or
+   * followed primary of a member, has changed.
+   */
   onTopologyChange(listener: () => void): Unsubscribe;
 }
 
-/** Options of `createGroupState`. */
 export interface GroupStateOptions {
   readonly timer: TimerService;
   readonly group: Group;
@@ -74,7 +82,7 @@
   onLeadership(leadership: Leadership): void;
 }
 
-/** Creates the state of a group; `open` connects to the members. */
+/** Creates a state that has no connections until `open` is called. */
 export function createGroupState(options: GroupStateOptions): GroupState {
   const {timer} = options;
   const listeners = new Set<() => void>();
--- a/packages/failover/src/group_view.ts
+++ b/packages/failover/src/group_view.ts
@@ -1,4 +1,7 @@
-/** The interface through which requests see a group. */
+/**
+ * Interface between requests and the failover of a group: leadership, members
+ * and confirmed records.
+ */
 import type {Member} from '@kelpstep/manifest';
 import type {LogPosition, TargetRole, TermHistory} from '@kelpstep/protocol';
 import type {Future, Milliseconds, Unsubscribe} from '@kelpstep/runtime';
@@ -6,11 +9,11 @@
 /** The primary of a term. */
 export interface Leadership {
   readonly term: number;
-  /** Member id. */
+  /** Member id of the primary. */
   readonly primary: string;
 }
 
-/** Last known state of a member. */
+/** State of a member according to its last status. */
 export interface MemberView {
   readonly member: Member;
   /** False while the control connection is down or unresponsive. */
@@ -71,18 +74,30 @@
     deadline: Milliseconds,
   ): Future<Confirmation>;
   /**
-   * Settles with the log position that a read must have reached to see every
-   * record confirmed before this call. For this the members' terms are probed
-   * after the call; concurrent calls share a round of probes. Settles with
-   * `undefined` if no round succeeds by the monotonic deadline.
+   * Settles with the log position that a read must have reached to include
+   * every record confirmed before this call. For this the members' terms are
+   * probed after the call; concurrent calls share a round of probes. Settles
+   * with `undefined` if no round succeeds by the monotonic deadline.
    */
   readBarrier(deadline: Milliseconds): Future<LogPosition | undefined>;
-  /** Settles when a leadership is known, with `undefined` at the deadline. */
+  /**
+   * Settles when a leadership is known, or with `undefined` at the monotonic
+   * deadline.
+   */
   awaitLeadership(deadline: Milliseconds): Future<Leadership | undefined>;
-  /** Reports a term seen in a reply. */
+  /**
+   * Reports a term from a reply. A leadership of a lower term is not returned
+   * until a round of probes has succeeded.
+   */
   observeTerm(term: number): void;
-  /** Reports that a member did not answer a request. */
+  /**
+   * Reports that a member did not answer a request, which starts a check of its
+   * control connection.
+   */
   observeSilence(memberId: string): void;
-  /** Calls the listener after each change of leadership or of a member. */
+  /**
+   * Calls the listener when the leadership, or the reachability, role, term or
+   * followed primary of a member, has changed.
+   */
   onChange(listener: () => void): Unsubscribe;
 }
--- a/packages/failover/src/leadership_wait.ts
+++ b/packages/failover/src/leadership_wait.ts
@@ -10,7 +10,10 @@
 import type {GroupState} from './group_state';
 import type {Leadership} from './group_view';
 
-/** Settles with the leadership, or `undefined` at a monotonic deadline. */
+/**
+ * Settles with the leadership once it is known, or with `undefined` at the
+ * monotonic deadline.
+ */
 export function awaitLeadership(
   timer: TimerService,
   state: GroupState,
--- a/packages/failover/src/managed_group_view.ts
+++ b/packages/failover/src/managed_group_view.ts
@@ -33,7 +33,9 @@
 import {createReadRounds} from './read_rounds';
 import {DEFAULT_FAILOVER_TIMINGS, FailoverTimings} from './timings';
 
-/** A group's view with the operations that are reserved to its owner. */
+/**
+ * A group's view with the operations that are reserved to the group directory.
+ */
 export interface ManagedGroupView extends GroupView {
   /** Applies a new manifest's description; its version is 0 by default. */
   updateGroup(group: Group, manifestVersion?: number): void;
@@ -41,7 +43,7 @@
   learnLeadership(leadership: Leadership): void;
   /** The newest leadership known to be confirmed; it may have ended. */
   lastLeadership(): Leadership | undefined;
-  /** Starts or stops failure detection by the present `watchRank`. */
+  /** Starts or stops failure detection if `watchRank` has changed. */
   updateMonitoring(): void;
   /**
    * Carries out an operator's request to change the primary. Without
@@ -50,13 +52,16 @@
   requestSwitchOver(
     successor?: string,
   ): Future<Result<LeadershipChange, Failure>>;
-  /** True while its streams are open. */
+  /** True while the control connections to the members are open. */
   isOpen(): boolean;
-  /** Closes all streams and stops failure detection permanently. */
+  /** Closes all connections and stops failure detection permanently. */
   close(): void;
 }
 
-/** Options of `createGroupView`. */
+/**
+ * Options of a group's view; the callbacks may be called at any time until the
+ * view is closed.
+ */
 export interface GroupViewOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -65,7 +70,7 @@
   readonly manifestVersion?: number;
   /** Overrides of `DEFAULT_FAILOVER_TIMINGS`. */
   readonly timings?: Partial<FailoverTimings>;
-  /** 0 to 65535, see `promoterNumberOf`. */
+  /** Number from 0 to 65535, as returned by `promoterNumberOf`. */
   readonly promoterNumber: number;
   /** Data centre of this proxy; preferred when candidates' logs are equal. */
   readonly dataCentre: string;
@@ -78,7 +83,10 @@
   isLeaving(member: Member): boolean;
   /** Number of groups in the manifest; 1 by default. */
   groupCount?(): number;
-  /** Decides the probe intervals of a group that is monitored but not used. */
+  /**
+   * Chooses the probe intervals of a group that is monitored but not used;
+   * `proportionalProbeIntervals` by default.
+   */
   readonly probeIntervalPolicy?: ProbeIntervalPolicy;
   /** Called when this proxy has carried out a change of leadership. */
   onLeadershipChange?(change: LeadershipChange): void;
@@ -226,8 +234,9 @@
   }
 
   /**
-   * An unused group runs rounds only while its leadership is unknown or a
-   * member is empty. In use, rounds keep the bounds of replicas' ages recent.
+   * Runs rounds periodically. In a group in use they keep the bounds of
+   * replicas' ages recent; in an unused group they run only while its
+   * leadership is unknown or a member is empty.
    */
   function* runBackgroundRounds(): Task<never> {
     for (;;) {
--- a/packages/failover/src/member_link.ts
+++ b/packages/failover/src/member_link.ts
@@ -1,4 +1,4 @@
-/** Interface of the control connection to one member. */
+/** Types of the control connection to one member. */
 import type {Member} from '@kelpstep/manifest';
 import type {Method, TargetStatus} from '@kelpstep/protocol';
 import type {RequestFailure} from '@kelpstep/rpc';
@@ -19,7 +19,7 @@
  */
 export type LossReason = 'refused' | 'exhausted' | 'unanswered';
 
-/** The control connection to one member. */
+/** Control connection to one member; it is reopened until `close`. */
 export interface MemberLink {
   readonly member: Member;
   condition(): LinkCondition;
@@ -31,7 +31,7 @@
   statusAt(): Milliseconds;
   /** Monotonic time since when the member has not been lost. */
   reachableSince(): Milliseconds;
-  /** Monotonic time at which the present process was first seen. */
+  /** Monotonic time of the first status from the target's present process. */
   incarnationSince(): Milliseconds;
   /** Sends a request; fails immediately if there is no connection. */
   request<P, R>(
@@ -39,9 +39,14 @@
     parameters: P,
     timeout: Milliseconds,
   ): Future<Result<R, RequestFailure>>;
-  /** Requests the status; an answer is processed like one of the stream. */
+  /**
+   * Requests the status. An answer is processed like a status of the stream.
+   */
   probe(timeout: Milliseconds): Future<Result<TargetStatus, RequestFailure>>;
-  /** Tries a new connection now unless the member has just been responsive. */
+  /**
+   * Checks the connection now: if nothing has arrived in the last two
+   * heartbeats, a new connection is opened.
+   */
   suspect(): void;
   /** Switches between stream and probes if the probe interval requires it. */
   applyProbeInterval(): void;
--- a/packages/failover/src/member_preferences.ts
+++ b/packages/failover/src/member_preferences.ts
@@ -1,9 +1,11 @@
-/** Decides which members get no new requests and which to prefer as primary. */
+/**
+ * Determines which members get no new requests and which are preferred as
+ * primary.
+ */
 import type {Member} from '@kelpstep/manifest';
 
 import type {GroupMembers} from './group_members';
 
-/** Options of `createMemberPreferences`. */
 export interface MemberPreferencesOptions {
   readonly members: Pick<GroupMembers, 'all' | 'isUnwanted'>;
   /** Data centre of this proxy; preferred when candidates' logs are equal. */
@@ -26,7 +28,6 @@
 const LEAVING_COST = 1000;
 const OTHER_DATA_CENTRE_COST = 100;
 
-/** Creates the preferences of a group. */
 export function createMemberPreferences(
   options: MemberPreferencesOptions,
 ): MemberPreferences {
--- a/packages/failover/src/member_views.ts
+++ b/packages/failover/src/member_views.ts
@@ -40,7 +40,7 @@
   );
 }
 
-/** See `GroupView.freshAt`. */
+/** Implements `GroupView.freshAt`. */
 export function freshAt(
   state: GroupState,
   end: LogPosition,
--- a/packages/failover/src/membership_change.ts
+++ b/packages/failover/src/membership_change.ts
@@ -1,4 +1,4 @@
-/** Decides from the members' statuses which configuration change is due. */
+/** Computes from the members' statuses which configuration change is due. */
 import {
   Configuration,
   LogPosition,
@@ -14,7 +14,7 @@
 /** A member as listed in a configuration. */
 export type ConfiguredMember = Configuration['members'][number];
 
-/** Input of `nextConfiguration`. */
+/** State of the group from which the next configuration is computed. */
 export interface MembershipChangeInput {
   /** The newest known configuration. */
   readonly configuration: LoggedConfiguration;
--- a/packages/failover/src/probe_intervals.ts
+++ b/packages/failover/src/probe_intervals.ts
@@ -5,7 +5,7 @@
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Intervals between status probes. */
+/** Intervals between status probes of the primary and of each replica. */
 export interface ProbeIntervals {
   readonly primary: Milliseconds;
   readonly replica: Milliseconds;
@@ -25,15 +25,19 @@
 /** Smallest number of groups for which the intervals are longest. */
 const LONGEST_INTERVALS_GROUP_COUNT = 2048;
 /**
- * A primary outage must end within 6 s. An unanswered probe takes 0.5 s longer
- * to establish the outage, and a promotion another 0.5 s. The limit also holds
- * for the next rank if the first failure detector is lost with the primary.
+ * With these intervals a primary outage ends within 6 s. After an unanswered
+ * probe it takes 0.5 s to establish the outage, and a promotion takes another
+ * 0.5 s. The limit also holds for the next rank if the first failure detector
+ * is lost with the primary.
  */
 const LONGEST_FIRST_RANK: ProbeIntervals = {primary: 2500, replica: 4000};
 const LONGEST_OTHER_RANKS: ProbeIntervals = {primary: 4000, replica: 20_000};
 const SHORTEST_INTERVAL_MS: Milliseconds = 250;
 
-/** Returns intervals in proportion to the number of groups, within limits. */
+/**
+ * Returns intervals in proportion to the number of groups, within limits;
+ * `undefined` for up to 64 groups.
+ */
 export function proportionalProbeIntervals(
   groupCount: number,
   rank: number,
--- a/packages/failover/src/probe_schedule.ts
+++ b/packages/failover/src/probe_schedule.ts
@@ -1,20 +1,21 @@
-/** Decides which members of a group are probed instead of streaming. */
+/** Selects the members of a group that are probed instead of streaming. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 import type {GroupState} from './group_state';
 import type {ProbeIntervalPolicy} from './probe_intervals';
 
-/** The probe intervals of a group's members. */
 export interface ProbeSchedule {
   /** Probe interval of a member; `undefined` if its status is streamed. */
   intervalOf(memberId: string): Milliseconds | undefined;
   /** Applies the intervals to all control connections. */
   apply(): void;
-  /** Resumes the streams immediately if the group is no longer stable. */
+  /**
+   * Applies the intervals at once if the last known primary has no probe
+   * interval, so that its status stream resumes.
+   */
   applyIfUnsettled(): void;
 }
 
-/** Options of `createProbeSchedule`. */
 export interface ProbeScheduleOptions {
   readonly state: GroupState;
   isInUse(): boolean;
@@ -26,7 +27,6 @@
   groupCount(): number;
 }
 
-/** Creates the probe schedule of a group. */
 export function createProbeSchedule(
   options: ProbeScheduleOptions,
 ): ProbeSchedule {
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -29,14 +29,14 @@
 import {nextTerm} from './terms';
 import type {FailoverTimings} from './timings';
 
-/** The reason for a promotion. */
+/** Reason for a promotion: a problem or a planned switch-over. */
 export type PromotionCause = ProblemKind | 'switch_over';
 
-/** Durations of a promotion's steps. */
+/** Durations of a promotion's steps in milliseconds. */
 export interface PromotionDurations {
   readonly fence: Milliseconds;
   readonly promote: Milliseconds;
-  /** From the promotion until a majority held the barrier. */
+  /** Time from the promotion until a majority held the barrier. */
   readonly barrier: Milliseconds;
 }
 
@@ -57,7 +57,6 @@
   /** The candidate did not answer; no other may be promoted at the term. */
   | {readonly kind: 'candidate_lost'};
 
-/** Dependencies of promotions and switch-overs. */
 export interface PromotionContext {
   readonly runtime: Runtime;
   readonly timings: FailoverTimings;
@@ -68,7 +67,6 @@
   cost(memberId: string): number;
 }
 
-/** Selects members by id. */
 export type MemberPredicate = (memberId: string) => boolean;
 
 /**
@@ -147,7 +145,10 @@
   return overtaken ? 'overtaken' : resultsOf(replies);
 }
 
-/** Returns the barrier's position, or `undefined` if promotion is uncertain. */
+/**
+ * Promotes the candidate and returns the barrier's position; `undefined` unless
+ * the candidate's answer or its status shows that it is the primary.
+ */
 function* promoteCandidate(
   {timings, state}: PromotionContext,
   candidate: string,
@@ -171,7 +172,10 @@
   return isPrimary ? status.val.end : undefined;
 }
 
-/** The manifest's members, used by the target if its log has none. */
+/**
+ * Returns the manifest's members as a configuration, which the target uses if
+ * its log has none.
+ */
 function initialConfiguration({members}: GroupState): Configuration {
   return {
     version: members.manifestVersion(),
@@ -179,7 +183,10 @@
   };
 }
 
-/** Waits for the barrier to be confirmed; stops if its primary is lost. */
+/**
+ * Waits for the barrier to be confirmed; returns `undecided` if the new primary
+ * is lost.
+ */
 function* waitForBarrier(
   {runtime, timings, state}: PromotionContext,
   primary: string,
@@ -198,7 +205,7 @@
   }
 }
 
-/** Failed requests are not retried here; the reconciler repeats them. */
+/** Sends each request once; the reconciler repeats failed ones. */
 function sendFollowRequests(
   {timings, state}: PromotionContext,
   primary: string,
--- a/packages/failover/src/read_rounds.ts
+++ b/packages/failover/src/read_rounds.ts
@@ -21,11 +21,11 @@
 import {RoundResult, evaluateRound} from './round_result';
 import type {FailoverTimings} from './timings';
 
-/** Starts rounds and distributes their results. */
+/** Starts rounds and settles the waiting reads with their results. */
 export interface ReadRounds {
   /**
-   * Settles with the result of a round that starts after this call, or with
-   * `undefined` at the monotonic deadline.
+   * Settles with the end of the primary's log found by a round that starts
+   * after this call, or with `undefined` at the monotonic deadline.
    */
   barrier(deadline: Milliseconds): Future<LogPosition | undefined>;
   /** Starts a round even if no read is waiting. */
@@ -36,7 +36,6 @@
   close(): void;
 }
 
-/** Options of `createReadRounds`. */
 export interface ReadRoundsOptions {
   readonly runtime: Runtime;
   readonly timings: FailoverTimings;
@@ -53,7 +52,7 @@
 
 type Answer = Result<TargetStatus, RequestFailure>;
 
-/** Creates the rounds of a group; none starts until one is requested. */
+/** No round starts until one is requested. */
 export function createReadRounds(options: ReadRoundsOptions): ReadRounds {
   const {runtime, timings} = options;
   const {timer} = runtime;
@@ -135,7 +134,9 @@
     return undefined;
   }
 
-  /** Adds the reads of a failed round that still wait to the next round. */
+  /**
+   * Adds the reads of a failed round that are still waiting to the next round.
+   */
   function requeue(waiters: ReadonlySet<Waiter>): void {
     const pending = [...waiters].filter(
       waiter => !waiter.deferred.future.isSettled(),
--- a/packages/failover/src/reconciliation.ts
+++ b/packages/failover/src/reconciliation.ts
@@ -7,7 +7,7 @@
 import {findPrimary} from './member_status';
 import type {PromotionContext} from './promotion';
 
-/** A reachable member. */
+/** A reachable member that may have to be made to follow the primary. */
 export interface Follower {
   readonly id: string;
   readonly status: TargetStatus;
@@ -59,7 +59,9 @@
 
 /** Repeats requests to follow until the members do so. */
 export interface Reconciler {
-  /** Sends the requests that are due, later at a higher rank. */
+  /**
+   * Sends the requests that are due. A request is due later at a higher rank.
+   */
   reattachMembers(rank: number): void;
 }
 
--- a/packages/failover/src/reconfiguration.ts
+++ b/packages/failover/src/reconfiguration.ts
@@ -7,7 +7,9 @@
 
 /** Requests configuration changes from the primary until none is due. */
 export interface Reconfigurer {
-  /** Requests the change that is due, later at a higher rank. */
+  /**
+   * Requests the change that is due. A change is due later at a higher rank.
+   */
   changeMembers(rank: number): void;
 }
 
--- a/packages/failover/src/reconnect_backoff.ts
+++ b/packages/failover/src/reconnect_backoff.ts
@@ -1,9 +1,12 @@
-/** Backoff between attempts to connect to a member. */
+/** Computes the backoff between attempts to connect to a member. */
 import {type Milliseconds, type Random, retryPause} from '@kelpstep/runtime';
 
 import type {FailoverTimings} from './timings';
 
-/** Doubles with each failure up to the limit, with random variation. */
+/**
+ * Returns a backoff that doubles with each failure up to the limit and varies
+ * randomly.
+ */
 export function reconnectBackoff(
   timings: FailoverTimings,
   failures: number,
--- a/packages/failover/src/status_poll.ts
+++ b/packages/failover/src/status_poll.ts
@@ -17,12 +17,14 @@
 export type PromotionDecision =
   'go' | 'primary_works' | 'primary_heard' | 'no_majority';
 
-/** Input of `evaluateStatusPoll`. */
 export interface StatusPollInput {
   readonly problem: Problem;
   /** Address of the primary concerned. */
   readonly address: string | undefined;
-  /** True if no process listens there, which outdates the replicas' reports. */
+  /**
+   * True if no process listens at the address, which outdates the replicas'
+   * reports of contact.
+   */
   readonly refused: boolean;
   readonly responses: readonly TargetStatus[];
   readonly groupSize: number;
@@ -30,7 +32,7 @@
   readonly heartbeatLimit: Milliseconds;
 }
 
-/** Decides about a promotion from the members' statuses. */
+/** Decides from the members' statuses whether to start a promotion. */
 export function evaluateStatusPoll(input: StatusPollInput): PromotionDecision {
   const {problem, responses} = input;
   if (isPrimaryWorking(problem, responses)) {
--- a/packages/failover/src/switch_over.ts
+++ b/packages/failover/src/switch_over.ts
@@ -1,7 +1,7 @@
 /**
- * Planned change of primary: pauses writes, waits until the successor has
- * reached the end of the log, then promotes it. Writes stop for a few round
- * trips only.
+ * Carries out a planned change of primary: pauses writes, waits until the
+ * successor has reached the end of the log, then promotes it. Writes are paused
+ * for only a few round trips.
  */
 import {TargetStatus, logContains, targetPauseWrites} from '@kelpstep/protocol';
 import {Task, createDeferred, waitAtMost, waitFor} from '@kelpstep/runtime';
@@ -11,7 +11,6 @@
 import {canVote} from './member_status';
 import {PromotionContext, PromotionOutcome, promote} from './promotion';
 
-/** Result of a switch-over. */
 export type SwitchOverOutcome =
   | PromotionOutcome
   /** No eligible member has caught up closely enough. */
@@ -21,7 +20,6 @@
   /** The successor did not reach the end in time; the pause expires. */
   | {readonly kind: 'successor_late'};
 
-/** Parameters of a switch-over. */
 export interface SwitchOverRequest {
   readonly from: Leadership;
   /** True for members that must not become primary. */
@@ -30,7 +28,9 @@
   readonly successor?: string | undefined;
 }
 
-/** Runs one planned switch-over. */
+/**
+ * Runs one switch-over; returns before pausing writes if there is no successor.
+ */
 export function* switchOver(
   context: PromotionContext,
   request: SwitchOverRequest,
--- a/packages/failover/src/timings.ts
+++ b/packages/failover/src/timings.ts
@@ -35,15 +35,21 @@
    * while its replicas are in contact with it.
    */
   readonly pathPartitionLimit: Milliseconds;
-  /** Time without messages to replicas before a primary is isolated. */
+  /**
+   * Time without messages from the primary after which a replica counts as
+   * disconnected from it.
+   */
   readonly isolationLimit: Milliseconds;
   /** Time for a replica, once reachable again, to reconnect to its primary. */
   readonly rejoinLimit: Milliseconds;
-  /** Time for which a group may be without a primary. */
+  /** Time without a primary after which one is promoted. */
   readonly leaderlessTimeout: Milliseconds;
-  /** Time for which a member may be at a higher term than its primary. */
+  /**
+   * Time after which a member at a higher term than the primary causes a
+   * promotion.
+   */
   readonly splitTermTimeout: Milliseconds;
-  /** Time for which a barrier may lack a majority. */
+  /** Time after which an interrupted bootstrap is completed by a promotion. */
   readonly unconfirmedTimeout: Milliseconds;
   /** Mean backoff after a failed promotion. */
   readonly promotionBackoff: Milliseconds;
--- a/packages/request-ledger/src/commit.ts
+++ b/packages/request-ledger/src/commit.ts
@@ -17,7 +17,7 @@
 import {settleKey} from './settle_key';
 import {createOutcomeUnknownFailure} from './write';
 
-/** A request to commit a transaction. */
+/** A commit of a transaction that is open on the connection of `lease`. */
 export interface CommitRequest {
   readonly lease: Lease;
   /** Transaction id assigned by the target. */
@@ -27,7 +27,7 @@
   readonly key: IdempotencyKey;
 }
 
-/** Outcome of a commit. */
+/** Result of a commit and whether the transaction has ended. */
 export interface CommitOutcome {
   readonly result: Result<Execution, Failure>;
   /** True if the transaction is still open, so the commit can be retried. */
--- a/packages/request-ledger/src/group_access.ts
+++ b/packages/request-ledger/src/group_access.ts
@@ -1,4 +1,4 @@
-/** Access to a group's view and target pools for the request path. */
+/** Gives requests access to a group's view and target pools. */
 import type {GroupView, Leadership} from '@kelpstep/failover';
 import type {TargetPool} from '@kelpstep/pool';
 import type {Effect, Milliseconds} from '@kelpstep/runtime';
@@ -20,9 +20,12 @@
    * is.
    */
   majorityLostSince(): Milliseconds | undefined;
-  /** True while the view is being opened after the group was idle. */
+  /**
+   * True for a short time after the first use of an idle group, until its view
+   * has opened its streams.
+   */
   isCold(): boolean;
-  /** Records that a request found no primary to serve it. */
+  /** Records that a request found no primary. */
   noteTrouble(): void;
   /** Records that a primary served a request. */
   noteService(): void;
@@ -38,7 +41,10 @@
   return 2 * reachable > members.length;
 }
 
-/** An effect that ends once the view knows a leadership of a higher term. */
+/**
+ * Returns an effect that ends once the view knows a leadership of a higher
+ * term.
+ */
 export function leadershipAbove(
   view: GroupView,
   term: number,
@@ -63,7 +69,7 @@
   };
 }
 
-/** An effect that ends at the next change of leadership or members. */
+/** Returns an effect that ends at the next change of leadership or members. */
 export function nextChange(view: GroupView): Effect<undefined> {
   return {
     start(unusedTimer, resume) {
--- a/packages/request-ledger/src/idempotency_key.ts
+++ b/packages/request-ledger/src/idempotency_key.ts
@@ -2,19 +2,22 @@
 import {Failure, IdempotencyKey, createFailure} from '@kelpstep/protocol';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
 
-/** Limits of a key's age. */
+/** Limits of a key's age in milliseconds. */
 export interface KeyAgeLimits {
-  /** How long targets remember keys. */
+  /** Time for which targets retain a key. */
   readonly retention: Milliseconds;
-  /** How long before the end of its retention a key is refused. */
+  /** A key is refused this long before its retention ends. */
   readonly expiryMargin: Milliseconds;
-  /** How far a key may be ahead of the proxy's wall clock. */
+  /** Time by which a key may be ahead of the proxy's wall clock. */
   readonly clockTolerance: Milliseconds;
 }
 
 const RANDOM_DIGIT_COUNT = 24;
 
-/** Returns a generator of keys that are unique across processes. */
+/**
+ * Returns a function whose keys are unique across processes. `incarnation`
+ * identifies the process.
+ */
 export function createKeyMaker(
   runtime: Runtime,
   incarnation: string,
@@ -37,7 +40,10 @@
   return createFailure('KEY_EXPIRED', {message});
 }
 
-/** Returns a failure if targets may not retain the key for long enough. */
+/**
+ * Returns `KEY_EXPIRED` if targets may not retain the key for long enough,
+ * `KEY_FROM_FUTURE` if it was issued too far ahead of this proxy's clock.
+ */
 export function checkKeyAge(
   key: IdempotencyKey,
   wallClock: Milliseconds,
--- a/packages/request-ledger/src/ledger_policies.ts
+++ b/packages/request-ledger/src/ledger_policies.ts
@@ -2,7 +2,10 @@
 import {BackoffPolicy, createExponentialBackoff} from '@kelpstep/pool';
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 
-/** State on which a request without a primary decides whether to wait. */
+/**
+ * State from which the policies compute whether a request without a primary
+ * waits for a failover. Points in time are monotonic.
+ */
 export interface FailoverConditions {
   readonly now: Milliseconds;
   /** Monotonic time since which the group's requests have found no primary. */
@@ -25,24 +28,27 @@
   readonly expected: Milliseconds;
 }
 
-/** Policies of requests to a primary. */
+/** Replaceable policies of requests to a primary. */
 export interface LedgerPolicies {
   /** True if the request should wait for a failover. */
   shouldAwaitFailover(conditions: FailoverConditions): boolean;
-  /** How long to wait for an answer before the next attempt. */
+  /** Returns the time after which an attempt without an answer is abandoned. */
   attemptTimeout(conditions: AttemptConditions): Milliseconds;
-  /** Backoff between attempts. */
+  /** Returns the backoff before the next attempt. */
   readonly backoff: BackoffPolicy;
-  /** Retry delay for a caller whose request found no primary. */
+  /**
+   * Returns the delay after which a caller whose request found no primary
+   * should retry.
+   */
   failoverRetryAfter(
     conditions: FailoverConditions,
     random: Random,
   ): Milliseconds;
 }
 
-/** Typical duration of a failover. */
+/** Typical duration of a failover, used to predict its end. */
 export const TYPICAL_FAILOVER_MS: Milliseconds = 1_000;
-/** Requests stop waiting for a failover that takes longer. */
+/** Time without a primary after which requests no longer wait for one. */
 export const MAXIMUM_FAILOVER_WAIT_MS: Milliseconds = 5_000;
 /** After this time without a majority, no failover is expected soon. */
 export const MAJORITY_LOSS_TOLERANCE_MS: Milliseconds = 500;
@@ -73,8 +79,8 @@
 }
 
 /**
- * Leaves enough time for a slow answer, and limits the time spent on an
- * unresponsive connection so that another attempt can follow.
+ * Returns a time-out that allows for a slow answer, but limits the time spent
+ * on an unresponsive connection so that another attempt can follow.
  */
 function attemptTimeout({
   remaining,
@@ -87,7 +93,7 @@
   return Math.min(remaining, timeout);
 }
 
-/** Default policies. */
+/** Policies that apply unless they are replaced. */
 export const DEFAULT_LEDGER_POLICIES: LedgerPolicies = {
   shouldAwaitFailover,
   attemptTimeout,
--- a/packages/request-ledger/src/pinned_statement.ts
+++ b/packages/request-ledger/src/pinned_statement.ts
@@ -1,4 +1,4 @@
-/** Runs the statements of a pinned transaction. */
+/** Runs the statements of transactions that are pinned to a connection. */
 import {
   ErrorName,
   Failure,
@@ -96,7 +96,8 @@
   {term}: PinnedTransaction,
   failure: RequestFailure,
 ): Task<Result<TransactionAnswer, Failure>> {
-  // Without an answer the connection is closed, which rolls it back.
+  // Without an answer the connection is closed, which rolls back the
+  // transaction.
   if (
     failure.kind !== 'refused' ||
     LOST_TRANSACTION_ERRORS.has(failure.failure.name)
--- a/packages/request-ledger/src/pinned_transaction.ts
+++ b/packages/request-ledger/src/pinned_transaction.ts
@@ -5,7 +5,9 @@
 
 import type {GroupAccess} from './group_access';
 
-/** An open transaction of this proxy. */
+/**
+ * An open transaction whose connection this proxy holds. Times are monotonic.
+ */
 export interface PinnedTransaction {
   readonly id: string;
   readonly group: GroupAccess;
@@ -15,8 +17,9 @@
   readonly term: number;
   readonly primary: string;
   /**
-   * Later of the read barrier at the begin and the position that the session
-   * had seen: every statement must see at least this position.
+   * The later of the read barrier of `begin` and the position in the session's
+   * token then. Every statement must be executed at this position or a later
+   * one.
    */
   readonly minimumPosition: LogPosition;
   readonly freshAt: Milliseconds;
@@ -26,11 +29,11 @@
   stopMonitoring: Unsubscribe;
 }
 
-/** Receives the end of a monitored transaction. */
+/** Callbacks for the end of a monitored transaction. */
 export interface TransactionListener {
-  /** The connection closed while no statement was running. */
+  /** Called when the connection has closed while no statement was running. */
   onClosed(): void;
-  /** The transaction must end. No statement is running in it. */
+  /** Called when the transaction must end. No statement is running in it. */
   onExpired(reason: string): void;
 }
 
--- a/packages/request-ledger/src/primary_calls.ts
+++ b/packages/request-ledger/src/primary_calls.ts
@@ -1,6 +1,7 @@
 /**
- * Requests to the current primary, retried after failovers, write pauses and
- * lost answers until there is a conclusive answer or the deadline has passed.
+ * Sends requests to the current primary and retries them after failovers, write
+ * pauses and lost answers until there is a conclusive answer or the deadline
+ * has passed.
  */
 import type {Leadership} from '@kelpstep/failover';
 import type {Attempt, RequestAttributes, TargetPool} from '@kelpstep/pool';
@@ -19,7 +20,7 @@
 import {leadershipAbove, nextChange, reachesMajority} from './group_access';
 import {RequestContext, remainingTime} from './request_context';
 
-/** Parameters of an attempt. */
+/** What one attempt is sent with; `timeout` is in milliseconds. */
 export interface PrimaryAttempt {
   readonly pool: TargetPool;
   readonly work: RequestAttributes;
@@ -27,7 +28,7 @@
   readonly timeout: Milliseconds;
 }
 
-/** Sends one attempt. */
+/** Sends one attempt, normally through its pool, and returns the answer. */
 export type SendAttempt<A> = (attempt: PrimaryAttempt) => Future<A>;
 
 /** How a request to the primary ended. */
@@ -37,15 +38,15 @@
       readonly attempt: A;
       readonly leadership: Leadership;
     }
-  /** Refused because of the request itself or the data. */
+  /** The request was refused because of its parameters or the data. */
   | {
       readonly kind: 'refused';
       readonly failure: Failure;
       readonly leadership: Leadership;
     }
   /**
-   * No conclusive answer. A failure outcome of `not_run` does not cover earlier
-   * attempts; see `mayHaveRun`.
+   * There was no conclusive answer. A failure outcome of `not_run` does not
+   * cover earlier attempts; see `mayHaveRun`.
    */
   | {readonly kind: 'gave-up'; readonly failure: Failure};
 
@@ -55,13 +56,16 @@
     send: SendAttempt<A>,
     onAbandoned?: (attempt: A) => void,
   ): Task<PrimaryOutcome<A>>;
-  /** Waits for a primary as `call` does; returns a failure if there is none. */
+  /** Waits for a primary as `call` does; returns a failure if none is found. */
   checkPrimary(): Task<Failure | undefined>;
   /** True if an attempt without a known outcome may have run or may still run. */
   mayHaveRun(): boolean;
 }
 
-/** Refusals due to a change of primary or paused writes; nothing was run. */
+/**
+ * Refusals due to a change of primary or paused writes; the request has not
+ * run.
+ */
 const LEADERSHIP_REFUSALS: ReadonlySet<ErrorName> = new Set<ErrorName>([
   'TERM_TOO_LOW',
   'NOT_PRIMARY',
@@ -173,7 +177,7 @@
 
   /**
    * Updates the view from a failure and waits before the next attempt. Returns
-   * a failure if there is to be none.
+   * the failure to report if the request must not be retried.
    */
   function* handleFailure(
     failure: RequestFailure,
--- a/packages/request-ledger/src/request_context.ts
+++ b/packages/request-ledger/src/request_context.ts
@@ -1,11 +1,11 @@
-/** State of a request on the request path. */
+/** State of one request, passed to all functions that serve it. */
 import type {RetryBudget} from '@kelpstep/pool';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
 
 import type {GroupAccess} from './group_access';
 import type {LedgerPolicies} from './ledger_policies';
 
-/** Data collected while a request is served. */
+/** Data collected while a request is served, for metrics and the answer. */
 export interface RequestNotes {
   retries: number;
   queueTime: Milliseconds;
@@ -14,11 +14,11 @@
   age: Milliseconds | undefined;
 }
 
-/** A request that is being served. */
+/** What the functions that serve a request need to know about it. */
 export interface RequestContext {
   readonly runtime: Runtime;
   readonly group: GroupAccess;
-  /** Groups requests of similar service time. */
+  /** Name shared by requests of similar service time. */
   readonly kind: string;
   readonly worth: number;
   /** Monotonic time by which the request must be answered. */
--- a/packages/request-ledger/src/settle_key.ts
+++ b/packages/request-ledger/src/settle_key.ts
@@ -1,4 +1,4 @@
-/** Determines the final outcome of an idempotency key. */
+/** Determines whether the write of an idempotency key has run. */
 import {
   Failure,
   IdempotencyKey,
--- a/packages/request-ledger/src/transaction_id.ts
+++ b/packages/request-ledger/src/transaction_id.ts
@@ -6,7 +6,7 @@
 import type {IdempotencyKey} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** The parts of a transaction id. */
+/** Parsed transaction id. */
 export interface TransactionName {
   /** Id of the owning proxy. */
   readonly proxy: string;
--- a/packages/request-ledger/src/transaction_table.ts
+++ b/packages/request-ledger/src/transaction_table.ts
@@ -1,4 +1,6 @@
-/** The open transactions of this proxy, each pinned to a connection. */
+/**
+ * Table of the open transactions of this proxy, each pinned to a connection.
+ */
 import {
   Execution,
   Failure,
@@ -28,7 +30,7 @@
   TransactionTableOptions,
 } from './transaction_types';
 
-/** Creates an empty table. */
+/** Creates a table, empty until the first `begin`. */
 export function createTransactionTable(
   options: TransactionTableOptions,
 ): TransactionTable {
@@ -210,7 +212,8 @@
     yield* waitFor(
       lease.request(targetRollback, {transaction}, remainingTime(context)),
     );
-    // Without an answer the connection is closed, which also rolls back.
+    // Without an answer the connection is closed, which also rolls back the
+    // transaction.
     lease.release();
     return Ok(minimumPosition);
   }
--- a/packages/request-ledger/src/transaction_types.ts
+++ b/packages/request-ledger/src/transaction_types.ts
@@ -12,7 +12,7 @@
 
 import type {RequestContext} from './request_context';
 
-/** Options of a transaction table. */
+/** Limits of transactions in milliseconds; `runtime` supplies the clock. */
 export interface TransactionTableOptions {
   readonly runtime: Runtime;
   /** Time without a statement after which a transaction is rolled back. */
@@ -21,15 +21,13 @@
   readonly totalTime: Milliseconds;
 }
 
-/** A statement of a transaction. */
 export interface TransactionStatement {
   readonly statement: Statement;
   readonly mode: StatementMode;
-  /** Log position that the session has seen. The answer must not be older. */
+  /** Position in the session's token. The answer must not be older. */
   readonly seen: LogPosition;
 }
 
-/** The answer to a statement of a transaction. */
 export interface TransactionAnswer {
   readonly execution: Execution;
   /** Member id of the primary in which the transaction is open. */
@@ -38,11 +36,12 @@
   readonly freshAt: Milliseconds;
 }
 
-/** The open transactions of this proxy. */
+/** Open transactions of this proxy, by transaction id. */
 export interface TransactionTable {
   /**
-   * Begins a transaction that sees every record confirmed before this call and
-   * the position `seen`. Returns the minimum log position that it sees.
+   * Begins a transaction whose statements read every record confirmed before
+   * this call and every record up to the position `seen`. Returns the minimum
+   * log position of its statements.
    */
   begin(
     context: RequestContext,
@@ -66,7 +65,7 @@
     id: string,
   ): Task<Result<LogPosition, Failure>>;
   size(): number;
-  /** Settles when no transaction is open. */
+  /** Settles once no transaction is open; immediately if there is none. */
   whenEmpty(): Future<undefined>;
   /**
    * Rolls back every transaction: at once if it is idle, otherwise when its
--- a/packages/request-ledger/src/write.ts
+++ b/packages/request-ledger/src/write.ts
@@ -1,4 +1,4 @@
-/** At-most-once writes. */
+/** Runs writes at most once. */
 import {
   Execution,
   Failure,
@@ -20,7 +20,6 @@
 import type {RequestContext} from './request_context';
 import {settleKey} from './settle_key';
 
-/** A write with its idempotency key. */
 export interface WriteRequest {
   readonly statement: Statement;
   readonly key: IdempotencyKey;
@@ -35,8 +34,8 @@
 /**
  * Runs a write and waits until it is confirmed. Every attempt has the same key,
  * so a lost answer can be requested again from the current primary. The failure
- * states `not_run` only if no attempt can have run, or if a confirmed record
- * shows that the key can never run.
+ * has the outcome `not_run` only if no attempt can have run, or if a confirmed
+ * record shows that the key can never run.
  */
 export function* runWrite(
   context: RequestContext,
--- a/packages/routing/src/active_request.ts
+++ b/packages/routing/src/active_request.ts
@@ -1,4 +1,4 @@
-/** Requests that are being served, and their sessions. */
+/** Combines a request that is being served with its session. */
 import {LogPosition, EMPTY_LOG_END} from '@kelpstep/protocol';
 import type {RequestContext} from '@kelpstep/request-ledger';
 import {encodeToken, withPosition} from '@kelpstep/session';
@@ -6,7 +6,7 @@
 import type {GroupRecord} from './group_record';
 import type {ValidatedRequest} from './request_validation';
 
-/** A request that is being served. */
+/** A validated request with its context and its group's record. */
 export interface ActiveRequest {
   readonly validated: ValidatedRequest;
   readonly context: RequestContext;
@@ -15,7 +15,9 @@
   readonly token: string;
 }
 
-/** Returns the session token to send with an answer made at a log position. */
+/**
+ * Returns the session token for an answer that was executed at a log position.
+ */
 export function tokenAfter(
   {validated, record, token}: ActiveRequest,
   at: LogPosition,
@@ -28,7 +30,10 @@
   return next.size === 1 ? record.tokenOf(next, at) : encodeToken(next);
 }
 
-/** Log position that the session has seen; `EMPTY_LOG_END` without a token. */
+/**
+ * Returns the log position in the session's token; `EMPTY_LOG_END` without a
+ * token.
+ */
 export function seenPosition({validated}: ActiveRequest): LogPosition {
   return validated.seen ?? EMPTY_LOG_END;
 }
--- a/packages/routing/src/caller_methods.ts
+++ b/packages/routing/src/caller_methods.ts
@@ -31,7 +31,6 @@
 import type {RequestServiceOptions} from './service_types';
 import type {TransactionRequests} from './transaction_requests';
 
-/** Serves a validated request. */
 export type RequestHandler<P, R> = (
   parameters: P,
   request: ActiveRequest,
@@ -40,7 +39,6 @@
 /** Handler with the parameters and result of a method. */
 export type MethodHandler<M> = RequestHandler<ParametersOf<M>, ResultOf<M>>;
 
-/** Options of `createCallerMethods`. */
 export interface CallerMethodsOptions {
   readonly service: RequestServiceOptions;
   readonly readPolicy: ReadPolicy;
@@ -50,7 +48,6 @@
   makeKey(): IdempotencyKey;
 }
 
-/** Handlers of the callers' methods. */
 export interface CallerMethods {
   readonly read: MethodHandler<typeof callerRead>;
   readonly write: MethodHandler<typeof callerWrite>;
@@ -66,7 +63,6 @@
   readonly outcome: MethodHandler<typeof callerOutcome>;
 }
 
-/** Creates the handlers of the callers' methods. */
 export function createCallerMethods(
   options: CallerMethodsOptions,
 ): CallerMethods {
--- a/packages/routing/src/group_record.ts
+++ b/packages/routing/src/group_record.ts
@@ -1,4 +1,7 @@
-/** State of a group at this proxy: the targets' pools and primary outages. */
+/**
+ * Keeps a group's state at this proxy: the targets' pools and outages of the
+ * primary.
+ */
 import type {GroupView, MemberView} from '@kelpstep/failover';
 import type {Group, Member} from '@kelpstep/manifest';
 import {
@@ -13,7 +16,6 @@
 import type {Milliseconds, Runtime, Unsubscribe} from '@kelpstep/runtime';
 import {Session, encodeToken} from '@kelpstep/session';
 
-/** Options of `createGroupRecord`. */
 export interface GroupRecordOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -26,31 +28,34 @@
   readonly leavingGrace: Milliseconds;
 }
 
-/** State of a group at this proxy. */
+/** Group access with the operations of the group table. */
 export interface GroupRecord extends GroupAccess {
   readonly view: GroupView;
   group(): Group;
   /** Members, cached for at most a millisecond. */
   members(): readonly MemberView[];
-  /** Records that a request uses the group. */
+  /** Marks the group as in use, so that its view and connections stay open. */
   touch(): void;
   /** Applies a changed manifest or number of live proxies. */
   update(group: Group, liveProxies: number): void;
-  /** Opens, trims and probes idle connections; called a few times a second. */
+  /** Opens, trims and probes idle connections; to be called every 250 ms. */
   tick(): void;
-  /** Encodes a session that covers only this group; caches the last token. */
+  /** Encodes a session that contains only this group; caches the last token. */
   tokenOf(session: Session, at: LogPosition): string;
   pools(): ReadonlyMap<string, TargetPool>;
   close(): void;
 }
 
-/** A primary outage is over if no request has met it for this long. */
+/**
+ * A request without a primary counts as the start of a new outage if the last
+ * such request is longer ago than this.
+ */
 const OUTAGE_MEMORY_MS: Milliseconds = 2_000;
-/** Time for the view of an idle group to open its streams. */
+/** Duration of a cold start: the view of an idle group opens its streams. */
 const COLD_START_MS: Milliseconds = 200;
-/** A view closes its streams after its group was idle for this long. */
+/** Idle time of a group after which its next request counts as a cold start. */
 const VIEW_IDLE_TIMEOUT_MS: Milliseconds = 5_000;
-/** No connections are kept open for a group idle for this long. */
+/** Idle time of a group after which no idle connections are kept open. */
 const GROUP_IDLE_TIMEOUT_MS: Milliseconds = 60_000;
 const MEMBERS_CACHE_TIME_MS: Milliseconds = 1;
 /** Weight of a new sample in the moving average of confirmation times. */
@@ -63,7 +68,6 @@
   readonly pool: TargetPool;
 }
 
-/** Creates the record of a group that has not been used yet. */
 export function createGroupRecord(options: GroupRecordOptions): GroupRecord {
   const {runtime, view} = options;
   const {timer} = runtime;
@@ -165,7 +169,10 @@
     outage = {since, notedAt: now};
   }
 
-  /** The likely successor of the primary: the replica with the longest log. */
+  /**
+   * Returns the likely successor of the primary: the reachable replica with the
+   * longest log that is not leaving.
+   */
   function likelyNextPrimary(primary: string | undefined): string | undefined {
     let best: MemberView | undefined;
     for (const candidate of currentMembers()) {
--- a/packages/routing/src/group_table.ts
+++ b/packages/routing/src/group_table.ts
@@ -1,4 +1,4 @@
-/** The records of the groups that this proxy uses. */
+/** Keeps a record for each group that this proxy uses. */
 import type {Group} from '@kelpstep/manifest';
 import {DEFAULT_CONNECTION_TIMES} from '@kelpstep/pool';
 
@@ -7,10 +7,10 @@
 import type {RequestPolicies} from './policies';
 import type {RequestServiceOptions, TargetLoad} from './service_types';
 
-/** The records of the groups that this proxy uses, by name. */
+/** Records of the groups that this proxy uses, by group name. */
 export interface GroupTable {
   /**
-   * The record of a group of the manifest, created at its first use; undefined
+   * Returns the record of a group, which is created at its first use; undefined
    * while the group has no view.
    */
   get(group: Group): GroupRecord | undefined;
@@ -23,7 +23,6 @@
 /** Interval at which idle connections are opened, trimmed and probed. */
 const TICK_INTERVAL_MS = 250;
 
-/** Creates an empty table. */
 export function createGroupTable(
   options: RequestServiceOptions,
   policies: RequestPolicies,
--- a/packages/routing/src/key_check.ts
+++ b/packages/routing/src/key_check.ts
@@ -6,13 +6,15 @@
 
 import type {RequestLimits} from './limits';
 
-/** Returns a failure if the targets cannot be relied on to retain the key. */
+/**
+ * Returns a failure if the key is too old for the manifest's retention or was
+ * issued too far in the future.
+ */
 export type KeyCheck = (
   key: IdempotencyKey,
   manifest: Manifest,
 ) => Failure | undefined;
 
-/** Creates a key check. */
 export function createKeyCheck(
   timer: TimerService,
   limits: RequestLimits,
--- a/packages/routing/src/limits.ts
+++ b/packages/routing/src/limits.ts
@@ -1,29 +1,32 @@
-/** Limits of the request service. */
+/** Contains the limits of the request service and their defaults. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
 /** Limits of the request service. All times are in milliseconds. */
 export interface RequestLimits {
-  /** Time for an answer if neither the request nor its kind sets a deadline. */
+  /**
+   * Time until a request's deadline if neither the request nor its kind sets
+   * one.
+   */
   readonly defaultDeadline: Milliseconds;
-  /** Relative value of a request without a kind. */
+  /** Value of a request without a kind, relative to other requests. */
   readonly defaultWorth: number;
   /** Upper bound for the time until a request's deadline. */
   readonly maximumDeadline: Milliseconds;
-  /** How far the issue time of a key may be ahead of the proxy's clock. */
+  /** Time by which a key's issue time may be ahead of the proxy's clock. */
   readonly clockTolerance: Milliseconds;
   /** A key is rejected this long before the targets discard it. */
   readonly keyExpiryMargin: Milliseconds;
-  /** A transaction without a statement for this long is rolled back. */
+  /** Time without a statement after which a transaction is rolled back. */
   readonly transactionIdleTime: Milliseconds;
-  /** A transaction older than this is rolled back. */
+  /** Age at which a transaction is rolled back. */
   readonly transactionTotalTime: Milliseconds;
-  /** Writes are sent to a leaving primary for at most this long. */
+  /** Time for which writes are still sent to a leaving primary. */
   readonly leavingGrace: Milliseconds;
   /** Maximum number of requests queued per target. */
   readonly queueCapacity: number;
 }
 
-/** Default limits. */
+/** Limits that apply unless they are overridden. */
 export const DEFAULT_REQUEST_LIMITS: RequestLimits = {
   defaultDeadline: 5_000,
   defaultWorth: 1,
--- a/packages/routing/src/local_transactions.ts
+++ b/packages/routing/src/local_transactions.ts
@@ -1,4 +1,7 @@
-/** Serves requests of transactions held by this proxy or by no live proxy. */
+/**
+ * Serves requests of transactions that are held by this proxy or by no live
+ * proxy.
+ */
 import {
   Failure,
   IdempotencyKey,
@@ -25,7 +28,7 @@
 import type {KeyCheck} from './key_check';
 import type {ForwardedMethod} from './service_types';
 
-/** The methods that requests of a transaction may call. */
+/** Methods that a request with a transaction id may call, by short name. */
 interface TransactionMethods {
   read: typeof callerRead;
   write: typeof callerWrite;
@@ -33,12 +36,10 @@
   rollback: typeof callerRollback;
 }
 
-/** Parameters of a transaction method. */
 export type TransactionParameters<M extends ForwardedMethod> = ParametersOf<
   TransactionMethods[M]
 >;
 
-/** Result of a transaction method. */
 export type TransactionResult<M extends ForwardedMethod> = ResultOf<
   TransactionMethods[M]
 >;
@@ -49,7 +50,7 @@
   readonly name: TransactionName;
 }
 
-/** Task whose result is the answer of any transaction method. */
+/** Result of a transaction method, not typed because the method varies. */
 export type TransactionReply = Task<Result<unknown, Failure>>;
 
 /** Serves requests of transactions without contacting another proxy. */
@@ -60,7 +61,10 @@
     transaction: ParsedTransaction,
     request: ActiveRequest,
   ): TransactionReply;
-  /** Determines the outcome of a commit whose transaction no proxy holds. */
+  /**
+   * Determines whether a commit has run whose transaction no proxy holds any
+   * longer.
+   */
   resolve(
     key: IdempotencyKey | undefined,
     transaction: ParsedTransaction,
@@ -68,14 +72,12 @@
   ): Task<Result<TransactionResult<'commit'>, Failure>>;
 }
 
-/** Options of `createLocalTransactions`. */
 export interface LocalTransactionsOptions {
   readonly timer: TimerService;
   readonly transactions: TransactionTable;
   readonly checkKey: KeyCheck;
 }
 
-/** Creates the service of local transactions. */
 export function createLocalTransactions(
   options: LocalTransactionsOptions,
 ): LocalTransactions {
--- a/packages/routing/src/policies.ts
+++ b/packages/routing/src/policies.ts
@@ -1,4 +1,4 @@
-/** The replaceable policies of request processing. */
+/** Combines the replaceable policies of request processing. */
 import {
   PoolPolicies,
   RetryBudgetSettings,
@@ -15,13 +15,13 @@
 
 import {ReadPolicy, createReplicaPreferencePolicy} from './read_policy';
 
-/** Policies of the request service. */
+/** Policies of target pools, of requests to the primary and of reads. */
 export interface RequestPolicies extends PoolPolicies, LedgerPolicies {
   readonly read: ReadPolicy;
   readonly retryBudget: RetryBudgetSettings;
 }
 
-/** Default policies. */
+/** Policies that apply unless they are replaced. */
 export const DEFAULT_REQUEST_POLICIES: RequestPolicies = {
   ...DEFAULT_LEDGER_POLICIES,
   queue: WORTH_PER_SLOT_TIME,
--- a/packages/routing/src/read.ts
+++ b/packages/routing/src/read.ts
@@ -1,4 +1,4 @@
-/** Reads outside of transactions: target selection, waiting and retries. */
+/** Serves reads outside of transactions: selects targets, waits and retries. */
 import {Failure, LogPosition, createFailure} from '@kelpstep/protocol';
 import {remainingTime} from '@kelpstep/request-ledger';
 import {Milliseconds, Task, sleep} from '@kelpstep/runtime';
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Makes all targets available again after a backoff, once every target was
-   * tried. Returns a failure if the last target was overloaded.
+   * Makes all targets available again after a backoff, once every target has
+   * been tried. Returns a failure if the last target was overloaded.
    */
   function* restartRound(): Task<Failure | undefined> {
     if (lastFailure.name === 'OVERLOADED') {
--- a/packages/routing/src/read_attempt.ts
+++ b/packages/routing/src/read_attempt.ts
@@ -1,4 +1,4 @@
-/** A single attempt of a read at one target. */
+/** Performs a single attempt of a read at one target. */
 import {
   Execution,
   Failure,
@@ -14,13 +14,12 @@
 import type {ReadTarget} from './read_policy';
 import type {ReadAnswer, ReadOptions, ReadRequest} from './read_types';
 
-/** Result of an attempt. */
 export type ReadAttemptEnd =
   | {readonly kind: 'answered'; readonly answer: ReadAnswer}
   | {readonly kind: 'failed'; readonly failure: Failure}
   /**
-   * Another target may be tried. Counts as a retry only if the statement was
-   * sent.
+   * The read may be retried at another target. The attempt counts against the
+   * retry budget only if the statement was sent.
    */
   | {
       readonly kind: 'elsewhere';
--- a/packages/routing/src/read_candidates.ts
+++ b/packages/routing/src/read_candidates.ts
@@ -1,4 +1,4 @@
-/** The targets that a read may be sent to, and their freshness. */
+/** Lists the targets that a read may be sent to, with their freshness. */
 import type {MemberView} from '@kelpstep/failover';
 import type {LogPosition} from '@kelpstep/protocol';
 import {Milliseconds, Task, waitFor} from '@kelpstep/runtime';
@@ -6,28 +6,34 @@
 import type {ReadTarget} from './read_policy';
 import type {ReadOptions} from './read_types';
 
-/** The targets that one read may be sent to. */
+/**
+ * Targets that one read may be sent to; a target is excluded after a failed
+ * attempt.
+ */
 export interface ReadCandidates {
   /** Reachable members that are neither leaving nor excluded. */
   list(requiredPosition: LogPosition): ReadTarget[];
   /**
-   * Requests the position that a read must reach to include everything
-   * confirmed so far. Targets that hold it are as fresh as the time of the
-   * request. Undefined if no majority answers.
+   * Requests the position that a read must reach to include every record
+   * confirmed so far. The data of targets that hold it is no older than the
+   * request. Returns undefined if no majority answers.
    */
   requestBarrier(): Task<LogPosition | undefined>;
   /** True before the first barrier, and again after `allowBarrier`. */
   mayRequestBarrier(): boolean;
-  /** Allows another barrier, which raises the known freshness of targets. */
+  /** Allows another barrier, which can raise the known freshness of targets. */
   allowBarrier(): void;
   exclude(memberId: string): void;
   includeAll(): void;
 }
 
-/** Estimated round trips within and between data centres until measured. */
+/**
+ * Round trips within and between data centres that are assumed until they are
+ * measured.
+ */
 const LOCAL_ROUND_TRIP_MS: Milliseconds = 1;
 const REMOTE_ROUND_TRIP_MS: Milliseconds = 20;
-/** A majority that does not answer within this time counts as unreachable. */
+/** Time after which a majority that has not answered counts as unreachable. */
 const BARRIER_TIMEOUT_MS: Milliseconds = 2_000;
 
 interface Barrier {
@@ -35,7 +41,6 @@
   readonly position: LogPosition | undefined;
 }
 
-/** Creates the candidates of one read. */
 export function createReadCandidates(options: ReadOptions): ReadCandidates {
   const {context, record, dataCentre} = options;
   const {view} = record;
--- a/packages/routing/src/read_policy.ts
+++ b/packages/routing/src/read_policy.ts
@@ -1,21 +1,28 @@
 /** Policies that select the target of a read. */
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 
-/** A target that may serve a read, as input to a policy. */
+/**
+ * State of a target from which a policy decides whether to send a read to it.
+ */
 export interface ReadTarget {
   readonly id: string;
   readonly isPrimary: boolean;
-  /** True if it has reached the position that the read requires. */
+  /**
+   * True if the target's log has reached the position that the read requires.
+   */
   readonly holdsPosition: boolean;
-  /** Upper bound for the age of its data when it answers. */
+  /** Predicted upper bound for the age of the target's data when it answers. */
   readonly expectedAge: Milliseconds;
-  /** Predicted time in the target's queue and slot. */
+  /**
+   * Predicted time until the target answers, including queueing. Includes the
+   * round trip once it is based on measurements.
+   */
   readonly expectedTime: Milliseconds;
   /** Round trip to the target; estimated by data centre until measured. */
   readonly roundTrip: Milliseconds;
 }
 
-/** Input of a read policy. */
+/** State of a read from which a policy selects the next action. */
 export interface ReadPolicyInput {
   /** Reachable targets that are not leaving and have not failed this read. */
   readonly targets: readonly ReadTarget[];
@@ -28,11 +35,11 @@
   readonly mayRequestBarrier: boolean;
 }
 
-/** The next action for a read. */
+/** Next action for a read; durations are in milliseconds. */
 export type ReadPlan =
   | {readonly action: 'send'; readonly target: string}
   | {readonly action: 'wait'; readonly duration: Milliseconds}
-  /** Request a read barrier; targets that hold its position are fresh. */
+  /** Requests a read barrier; targets that hold its position are fresh. */
   | {readonly action: 'ask-barrier'}
   | {readonly action: 'refuse'};
 
@@ -43,17 +50,24 @@
 export interface ReplicaPreferenceSettings {
   /** Longest wait for a replica to catch up before the primary is used. */
   readonly maximumReplicaWait: Milliseconds;
-  /** Added to the primary's cost: how much slower a replica may be. */
+  /**
+   * Time added to the primary's cost. A replica is preferred unless it is
+   * slower by more than this.
+   */
   readonly primaryPenalty: Milliseconds;
-  /** Random share of the cost, which spreads the proxies over the targets. */
+  /**
+   * Random part of the cost as a ratio, which spreads the proxies' reads over
+   * the targets.
+   */
   readonly jitterRatio: number;
   /**
-   * Time for a proxy to learn a group's members; no read is refused earlier.
+   * Time for a proxy to learn a group's members. No read is refused before it
+   * has waited this long.
    */
   readonly coldStart: Milliseconds;
 }
 
-/** Default settings. */
+/** Settings that apply unless they are overridden; times in milliseconds. */
 export const DEFAULT_REPLICA_PREFERENCE: ReplicaPreferenceSettings = {
   maximumReplicaWait: 6,
   primaryPenalty: 50,
@@ -78,10 +92,11 @@
 }
 
 /**
- * Creates a policy that prefers replicas. In order: waits briefly for a fresh
- * replica to reach the position if no replica is eligible, selects the eligible
- * target of lowest cost by round trip and load, requests a read barrier.
- * Refuses the read if no target is reachable after `coldStart`.
+ * Creates a policy that prefers replicas. If no replica is eligible, the policy
+ * first waits briefly for a fresh replica to reach the position. It then
+ * selects the eligible target of lowest cost by round trip and load; if there
+ * is none, it requests a read barrier or waits. It refuses the read if no
+ * target is reachable after `coldStart`.
  */
 export function createReplicaPreferencePolicy(
   settings: ReplicaPreferenceSettings = DEFAULT_REPLICA_PREFERENCE,
--- a/packages/routing/src/read_types.ts
+++ b/packages/routing/src/read_types.ts
@@ -1,4 +1,4 @@
-/** Types of reads outside of transactions. */
+/** Types of the functions that serve reads outside of transactions. */
 import type {Execution, LogPosition, Statement} from '@kelpstep/protocol';
 import type {RequestContext} from '@kelpstep/request-ledger';
 import type {Milliseconds} from '@kelpstep/runtime';
@@ -6,17 +6,14 @@
 import type {GroupRecord} from './group_record';
 import type {ReadPolicy} from './read_policy';
 
-/** A read. */
+/** A read outside of transactions. */
 export interface ReadRequest {
   readonly statement: Statement;
-  /**
-   * Position that the session has seen; undefined requires all confirmed data.
-   */
+  /** Position in the session's token; undefined requires all confirmed data. */
   readonly seen: LogPosition | undefined;
   readonly maximumAge: Milliseconds;
 }
 
-/** The answer to a read. */
 export interface ReadAnswer {
   readonly execution: Execution;
   readonly target: string;
@@ -25,11 +22,13 @@
   readonly age: Milliseconds;
 }
 
-/** The context that a read is served in. */
+/** What the functions that serve a read need to know about it. */
 export interface ReadOptions {
   readonly context: RequestContext;
   readonly record: GroupRecord;
   readonly policy: ReadPolicy;
-  /** The proxy's data centre. */
+  /**
+   * Data centre of this proxy; round trips within it are assumed to be short.
+   */
   readonly dataCentre: string;
 }
--- a/packages/routing/src/request_service.ts
+++ b/packages/routing/src/request_service.ts
@@ -1,4 +1,7 @@
-/** Serves callers' requests: dispatches methods, counts requests, drains. */
+/**
+ * Serves callers' requests: dispatches methods, counts requests in flight and
+ * drains.
+ */
 import {createRetryBudget} from '@kelpstep/pool';
 import {
   CALLER_METHODS,
@@ -56,7 +59,10 @@
   throw error;
 }
 
-/** Creates the request service of a proxy. */
+/**
+ * Creates a service that accepts requests at once. Policies and limits that
+ * `options` omits have their defaults.
+ */
 export function createRequestService(
   options: RequestServiceOptions,
 ): RequestService {
@@ -183,7 +189,8 @@
   }
 
   /**
-   * Adds a caller's method. A stopping proxy refuses requests that are `isNew`.
+   * Adds a caller's method to the handlers. A stopping proxy refuses requests
+   * for which `isNew` is true.
    */
   function addCallerMethod<P extends RequestFields, R>(
     table: HandlerTable,
--- a/packages/routing/src/request_validation.ts
+++ b/packages/routing/src/request_validation.ts
@@ -14,7 +14,6 @@
 
 import type {RequestLimits} from './limits';
 
-/** Fields of all callers' requests. */
 export interface RequestFields {
   readonly group: string;
   readonly kind?: string | undefined;
@@ -23,10 +22,11 @@
   readonly accountKey?: string | undefined;
 }
 
-/** Sender of a request. */
 export type RequestSource =
   | 'caller'
-  /** Another proxy, which has checked the caller's account key. */
+  /**
+   * The sender is another proxy, which has checked the caller's account key.
+   */
   | 'proxy';
 
 /** The common fields of a request, resolved and valid. */
@@ -34,11 +34,11 @@
   readonly manifest: Manifest;
   readonly group: Group;
   readonly worth: number;
-  /** Monotonic time. */
+  /** Monotonic time by which the request must be answered. */
   readonly deadline: Milliseconds;
   readonly session: Session;
   /**
-   * Position of the group that the session has seen; undefined without a token.
+   * Position of the group in the session's token; undefined without a token.
    */
   readonly seen: LogPosition | undefined;
 }
@@ -67,13 +67,12 @@
   return keyDigests?.has(digestKey(Buffer.from(accountKey))) ?? true;
 }
 
-/** Validates the common fields of a request. */
+/** Returns the resolved fields, or the failure to answer the request with. */
 export type RequestValidator = (
   fields: RequestFields,
   source: RequestSource,
 ) => Result<ValidatedRequest, Failure>;
 
-/** Options of `createRequestValidator`. */
 export interface RequestValidatorOptions {
   readonly timer: TimerService;
   readonly limits: RequestLimits;
@@ -82,10 +81,10 @@
   isManifestCurrent(): boolean;
 }
 
-/** Time for a proxy to learn whether a newer manifest is in force. */
+/** Time that a proxy needs to learn whether a newer manifest is in force. */
 const MANIFEST_CONFIRMATION_TIME_MS: Milliseconds = 300;
 
-/** Creates a validator, which indexes each manifest once. */
+/** The validator indexes each manifest once. */
 export function createRequestValidator(
   options: RequestValidatorOptions,
 ): RequestValidator {
@@ -103,7 +102,10 @@
     return index;
   }
 
-  /** Converts the caller's wall-clock deadline to monotonic time. */
+  /**
+   * Converts the caller's wall-clock deadline to monotonic time. Without one,
+   * the deadline of the kind or the default applies.
+   */
   function resolveDeadline(
     requested: number | undefined,
     kind: RequestKind | undefined,
--- a/packages/routing/src/service_types.ts
+++ b/packages/routing/src/service_types.ts
@@ -1,4 +1,4 @@
-/** Options and interface of the request service. */
+/** Types of the request service and of the functions that it is given. */
 import type {GroupView} from '@kelpstep/failover';
 import type {Manifest} from '@kelpstep/manifest';
 import type {ErrorName, ProxyIdentity} from '@kelpstep/protocol';
@@ -36,16 +36,19 @@
   readonly duration: Milliseconds;
   /** Part of the duration that was spent in the targets' queues. */
   readonly queueTime: Milliseconds;
-  /** Target that answered, if one did. */
+  /** Member id of the target that answered, if one did. */
   readonly servedBy: string | undefined;
   readonly role: 'primary' | 'replica' | undefined;
   /** Upper bound for the age of a read's data. */
   readonly age: Milliseconds | undefined;
-  /** Attempts after the first. */
+  /** Number of attempts after the first. */
   readonly retries: number;
 }
 
-/** Options of `createRequestService`. */
+/**
+ * Dependencies of the request service. The functions may be called at any time
+ * until `close`.
+ */
 export interface RequestServiceOptions {
   readonly runtime: Runtime;
   readonly self: ProxyIdentity;
@@ -90,7 +93,7 @@
   readonly shed: number;
 }
 
-/** Serves callers' requests. */
+/** Request service of one proxy: validates, routes and answers requests. */
 export interface RequestService {
   /** Handlers of read, write, begin, commit, rollback and outcome. */
   readonly callerHandlers: HandlerTable;
--- a/packages/routing/src/transaction_requests.ts
+++ b/packages/routing/src/transaction_requests.ts
@@ -20,7 +20,6 @@
 } from './local_transactions';
 import type {ForwardedMethod, RequestServiceOptions} from './service_types';
 
-/** Serves requests of transactions. */
 export interface TransactionRequests {
   /** Serves a caller's request, forwarding it if another proxy is the owner. */
   serve<M extends ForwardedMethod>(
@@ -36,7 +35,6 @@
   ): TransactionReply;
 }
 
-/** Common parameters of the transaction methods. */
 export interface TransactionFields {
   readonly group: string;
   readonly transaction?: string | undefined;
@@ -45,12 +43,11 @@
 }
 
 /**
- * Share of a commit's remaining time for the owner's answer. The rest is kept
- * for determining the outcome without the owner.
+ * Share of a commit's remaining time for which the owner's answer is awaited.
+ * The rest is kept for determining the outcome without the owner.
  */
 const FORWARDED_COMMIT_SHARE = 0.6;
 
-/** Creates the router for requests of transactions. */
 export function createTransactionRequests(
   service: RequestServiceOptions,
   local: LocalTransactions,
@@ -68,7 +65,10 @@
       : {id, name};
   }
 
-  /** Finds the other proxy that owns the transaction, if there is one. */
+  /**
+   * Returns the other proxy that owns the transaction; undefined if this proxy
+   * owns it or the owner has stopped.
+   */
   function findOwner({name}: ParsedTransaction): ProxyIdentity | undefined {
     const {proxy, incarnation} = name;
     const isHere = proxy === self.proxy && incarnation === self.incarnation;
--- a/packages/succession/__tests__/succession_model.ts
+++ b/packages/succession/__tests__/succession_model.ts
@@ -20,7 +20,6 @@
   TARGETS,
 } from './succession_model_state';
 
-/** Result of a search. */
 export interface SearchResult {
   readonly states: number;
   /** Shortest sequence of steps that loses a commit; undefined if none does. */
--- a/packages/succession/__tests__/succession_model_state.ts
+++ b/packages/succession/__tests__/succession_model_state.ts
@@ -1,4 +1,4 @@
-/** States of the succession model. */
+/** Defines the states of the succession model, its guards and its bounds. */
 
 /**
  * Safety rules of a change of primary. Each can be disabled, to check that the
@@ -32,7 +32,9 @@
   resumesInTime: true,
 };
 
-/** A target and its data. */
+/**
+ * State of a target in the model; a target that is not running answers nothing.
+ */
 export interface ModelTarget {
   /** Names of commits, each `TERM.NUMBER`. */
   readonly log: readonly string[];
@@ -85,7 +87,6 @@
 
 /** The targets; the first is the initial primary. */
 export const TARGETS = [0, 1, 2] as const;
-/** The promoters. */
 export const PROMOTERS = [0, 1] as const;
 /** Bounds that keep the search finite. */
 export const MAXIMUM_COMMITS = 2;
@@ -103,7 +104,6 @@
   sent: 0,
 };
 
-/** Start of the search. */
 export const INITIAL_STATE: ModelState = {
   targets: TARGETS.map(() => ({
     log: [],
--- a/packages/succession/src/choose_successor.ts
+++ b/packages/succession/src/choose_successor.ts
@@ -1,7 +1,7 @@
 /** Selects the target to promote; a pure function of the targets' answers. */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 
-/** A target that may be promoted, as of its last answer. */
+/** A target that may be promoted, as described by its last answer. */
 export interface SuccessorCandidate {
   readonly target: string;
   /** End of its log at the time of the answer. */
@@ -10,7 +10,7 @@
   readonly dataCentre: string;
 }
 
-/** Input of `chooseSuccessor`. */
+/** Answers of a group's targets, from which the successor is selected. */
 export interface SuccessorInput {
   /**
    * The targets that have answered: paused replicas, which receive no further
@@ -21,7 +21,10 @@
    * Number of targets that may hold an acknowledged commit but didn't answer.
    */
   readonly unanswered: number;
-  /** Log end of the demoted primary if it answered; includes every commit. */
+  /**
+   * Log end of the demoted primary, which includes every commit; undefined if
+   * the primary was not demoted or did not answer.
+   */
   readonly demotedLogEnd: LogPosition | undefined;
 }
 
--- a/packages/succession/src/succession_monitor.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -1,7 +1,7 @@
 /**
  * Monitors a group's primary and has another target promoted when the primary
- * leaves or is lost. Each step is written to the group's row before it is
- * taken, so that another proxy can resume the change.
+ * leaves or is lost. Each phase of a change is written to the group's row
+ * before the proxy acts in it, so that another proxy can resume the change.
  */
 import type {TableStore} from '@kelpstep/platform';
 import {
@@ -29,16 +29,19 @@
   createSuccessionRowWriter,
 } from './succession_row_writer';
 
-/** Why a primary is replaced. */
+/**
+ * Reason for which a primary is replaced. `missing`: no primary has been known
+ * for a while. `unfinished`: a change of primary has not been completed.
+ */
 export type SuccessionReason =
   | 'leaving'
   | 'lost'
-  /** Reachable, but no replica receives records from it. */
+  /** The primary is reachable, but no replica receives records from it. */
   | 'isolated'
   | 'missing'
   | 'unfinished';
 
-/** A succession row and its version in the store. */
+/** A succession row, and its version in the store for conditional writes. */
 export interface VersionedSuccession {
   readonly succession: Succession;
   readonly version: number;
@@ -55,7 +58,7 @@
   ): void;
 }
 
-/** Options of `startSuccessionMonitor`. */
+/** Dependencies of the monitoring of one group; `self` is this proxy's id. */
 export interface SuccessionMonitorOptions {
   readonly runtime: Runtime;
   readonly self: string;
@@ -70,11 +73,14 @@
   isLeaderReachedElsewhere(): Task<boolean>;
   /** The group's row as last read. */
   row(): VersionedSuccession | undefined;
-  /** When this version of the row was first read; -Infinity without a row. */
+  /**
+   * Monotonic time at which this version of the row was first read; -Infinity
+   * without a row.
+   */
   rowSeenAt(): Milliseconds;
 }
 
-/** Monitors one group until it is stopped. */
+/** Handle of the monitoring of one group. */
 export interface SuccessionWatch {
   stop(): void;
 }
@@ -82,11 +88,11 @@
 /** Interval between checks of the primary. */
 const MONITOR_INTERVAL_MS: Milliseconds = 50;
 /**
- * An unresponsive primary counts as lost after this time, measured from the
+ * Time after which an unresponsive primary counts as lost, measured from the
  * first status probe that also failed on a new connection.
  */
 const PRIMARY_LOST_TIMEOUT_MS: Milliseconds = 150;
-/** A group without a known primary is given a new one after this time. */
+/** Time without a known primary after which a group is given a new one. */
 const PRIMARY_MISSING_TIMEOUT_MS: Milliseconds = 1000;
 /**
  * A change by another proxy may be taken over once its row has not been written
@@ -95,13 +101,14 @@
 const OTHER_PROXY_STEP_TIMEOUT_MS: Milliseconds = 2500;
 /**
  * Minimum time between two changes. The proxy that ended a change resumes
- * replication, which must not undo the pause of the next change. Covers
- * `RESUME_WINDOW_MS`, opening a connection and network latency.
+ * replication, which must not undo the pause of the next change. The time
+ * covers `RESUME_WINDOW_MS`, opening a connection and network latency.
  */
 const CHANGE_COOLDOWN_MS: Milliseconds = 1500;
 /**
  * If no write has been answered for this long, the primary may have no replica
- * that receives from it. Above the queueing delay of a target under load.
+ * that receives from it. The time is above the queueing delay of a target under
+ * load.
  */
 const WRITE_STALL_TIMEOUT_MS: Milliseconds = 400;
 /** Backoff before a primary with stalled writes is checked again. */
@@ -113,7 +120,7 @@
 /** Backoff after a change that failed. */
 const FAILED_CHANGE_BACKOFF_MS: Milliseconds = 700;
 
-/** Starts to monitor a group. */
+/** Monitors the group and changes its primary when necessary, until `stop`. */
 export function watchSuccession(
   options: SuccessionMonitorOptions,
 ): SuccessionWatch {
@@ -243,9 +250,10 @@
   }
 
   /**
-   * The primary according to the row, for a proxy that does not know one; every
-   * change of primary is recorded there. Commits that a lost primary has
-   * acknowledged are on a replica, so the primary's own answer is not needed.
+   * Returns the primary according to the row, for a proxy that does not know
+   * one; every change of primary is recorded there. Returns undefined while a
+   * promotion is ordered. Commits that a lost primary has acknowledged are on a
+   * replica, so the primary's own answer is not needed.
    */
   function recordedLeader(row: Succession | undefined): TargetLink | undefined {
     if (row === undefined || row.phase === 'ordered') {
@@ -255,8 +263,8 @@
   }
 
   /**
-   * Reachable target of a recorded promotion order; '' if there is none. Such
-   * an order may still take effect, so no other target is selected.
+   * Returns the reachable target of a recorded promotion order; '' if there is
+   * none. Such an order may still take effect, so no other target is selected.
    */
   function findPendingTarget(row: Succession | undefined): string {
     const isOrdered = row?.phase === 'ordered';
--- a/packages/succession/src/succession_row.ts
+++ b/packages/succession/src/succession_row.ts
@@ -1,14 +1,18 @@
-/** The table row that records a change of a group's primary and its phase. */
+/**
+ * Defines the table row that records a change of a group's primary and its
+ * phase.
+ */
 import type {Future} from '@kelpstep/runtime';
 import {z} from 'zod';
 
-/** Prefix of the row keys; followed by the name of the group. */
+/** Prefix of the row keys, which is followed by the name of the group. */
 export const SUCCESSION_PREFIX = 'succession/';
 
 /**
  * `stopping`: replicas are being paused and compared. `ordered`: the promotion
  * was or is about to be ordered and may take effect at any time. `done`: the
- * target is primary. `abandoned`: ended before any promotion was ordered.
+ * target is primary. `abandoned`: the change ended before any promotion was
+ * ordered.
  */
 export const successionPhaseSchema = z.enum([
   'stopping',
@@ -18,11 +22,11 @@
 ]);
 export type SuccessionPhase = z.infer<typeof successionPhaseSchema>;
 
-/** Value of a row. */
+/** Value of a group's row: the last change of primary. */
 export const successionSchema = z.object({
   /** Fencing token; increases with each change and each repeated order. */
   epoch: z.number().int().nonnegative(),
-  /** Proxy that performs the change. */
+  /** Id of the proxy that performs the change. */
   holder: z.string(),
   phase: successionPhaseSchema,
   /** Primary to be replaced; empty if none was known. */
@@ -32,17 +36,25 @@
 });
 export type Succession = z.infer<typeof successionSchema>;
 
-/** Result of a promotion order. */
+/** The platform's answer to a promotion order. */
 export type PromotionReply =
   | 'done'
-  /** Refused: a higher epoch was used, or the target is not running. */
+  /**
+   * The order was refused: a higher epoch was used, or the target is not
+   * running.
+   */
   | 'fenced'
-  /** Not executed. */
+  /** The order was not executed for another reason. */
   | 'refused'
-  /** No reply; the order may have been executed or may still be executed. */
+  /**
+   * There was no reply; the order may have been executed or may still be
+   * executed.
+   */
   | 'unanswered';
 
-/** A promotion order. */
+/**
+ * A promotion order to the platform; `holder` and `epoch` are those of the row.
+ */
 export interface PromotionOrder {
   readonly group: string;
   readonly target: string;
@@ -50,5 +62,5 @@
   readonly epoch: number;
 }
 
-/** Orders a promotion from the platform; implemented by an adapter. */
+/** Orders a promotion from the platform; an adapter implements it. */
 export type OrderPromotion = (order: PromotionOrder) => Future<PromotionReply>;
--- a/packages/succession/src/succession_row_writer.ts
+++ b/packages/succession/src/succession_row_writer.ts
@@ -12,11 +12,11 @@
 
 import {type Succession, successionSchema} from './succession_row';
 
-/** Writes the row until another proxy has written it. */
+/** Writes the row; fails once another proxy has written it. */
 export interface SuccessionRowWriter {
   /**
-   * Writes the row with the change applied. False if another proxy has written
-   * the row, or may have.
+   * Writes the row with the change applied. Returns false if another proxy has
+   * written the row, or if every attempt failed.
    */
   write(change: Partial<Succession>): Task<boolean>;
   /** The row as last written by this writer. */
@@ -27,12 +27,13 @@
 
 /**
  * A write without an answer for this long may have been applied with its answer
- * lost, so the row is read back. Well above the usual latency of the store.
+ * lost, so the row is read back. The time is well above the usual latency of
+ * the store.
  */
 const READ_BACK_DELAY_MS: Milliseconds = 250;
 /**
- * Attempts per write. If a single failed write ended the change, the group
- * would have to wait until another proxy takes it over.
+ * Maximum number of attempts per write. If a single failed write ended the
+ * change, the group would have to wait until another proxy takes it over.
  */
 const MAXIMUM_ATTEMPTS = 3;
 const RETRY_BACKOFF_MS: Milliseconds = 60;
@@ -61,7 +62,7 @@
   let current = initial;
   let currentVersion = version;
 
-  /** Version of the stored row if it equals `next`. */
+  /** Returns the version of the stored row if it equals `next`. */
   function* findWrittenVersion(next: Succession): Task<number | undefined> {
     const read = yield* waitFor(store.readTable(table));
     const row = read.ok
--- a/packages/succession/src/succession_steps.ts
+++ b/packages/succession/src/succession_steps.ts
@@ -1,4 +1,7 @@
-/** The steps of a change of primary, from pausing to resuming replication. */
+/**
+ * Implements the steps of a change of primary, from pausing to resuming
+ * replication.
+ */
 import {type LogPosition, compareLogPositions} from '@kelpstep/protocol';
 import {
   type Milliseconds,
@@ -20,13 +23,12 @@
 import type {SuccessionRowWriter} from './succession_row_writer';
 
 /**
- * How a change of primary ended. `abandoned`: no promotion was ordered.
+ * Result of a change of primary. `abandoned`: no promotion was ordered.
  * `overtaken`: another proxy has written the row, or the target did not become
  * primary.
  */
 export type SuccessionOutcome = 'done' | 'abandoned' | 'overtaken';
 
-/** Options of `createSuccessionSteps`. */
 export interface SuccessionStepsOptions {
   readonly runtime: Runtime;
   readonly self: string;
@@ -37,40 +39,50 @@
 }
 
 /**
- * The steps of a change; each is recorded in the row before it takes effect.
+ * The steps of a change. The caller writes the phase `stopping` to the row
+ * before replicas are paused; `promoteSuccessor` writes `ordered` before it
+ * orders the promotion.
  */
 export interface SuccessionSteps {
   /**
-   * True if every reachable replica lacks records of the primary's log. Probed
-   * repeatedly, because a replica is briefly behind under normal operation too.
+   * True if `leader` reports itself primary and every reachable replica lacks
+   * records of its log; false if no replica is reachable. The replicas are
+   * probed repeatedly, because a replica is briefly behind under normal
+   * operation too.
    */
   isIsolated(leader: TargetLink | undefined): Task<boolean>;
-  /** Highest term known to any reachable target. */
+  /** Returns the highest term known to this proxy or to a reachable target. */
   highestTerm(): Task<number>;
   /**
    * Demotes the primary and selects a target that holds every commit it has
-   * acknowledged.
+   * acknowledged. Pauses the replicas instead if the primary does not answer.
    */
   chooseAfterDemotion(
     leader: TargetLink,
     term: number,
   ): Task<SuccessorCandidate | undefined>;
-  /** Pauses replication on all replicas and selects among them. */
+  /**
+   * Pauses replication on all replicas and selects among them; undefined if a
+   * replica could not be paused in time.
+   */
   chooseAfterPause(
     leader: TargetLink | undefined,
     term: number,
   ): Task<SuccessorCandidate | undefined>;
-  /** Records the selected target, then promotes it. */
+  /** Records the selected target, then promotes it and finishes the change. */
   promoteSuccessor(
     rowWriter: SuccessionRowWriter,
     target: string,
   ): Task<SuccessionOutcome>;
-  /** Promotes a target that the row already records. */
+  /** Promotes a target that the row already records and finishes the change. */
   completePromotion(
     rowWriter: SuccessionRowWriter,
     target: string,
   ): Task<SuccessionOutcome>;
-  /** Records the end of the change, then resumes replication on all targets. */
+  /**
+   * Records the end of the change. If that succeeds, resumes replication on all
+   * reachable targets.
+   */
   finish(
     rowWriter: SuccessionRowWriter,
     phase: 'done' | 'abandoned',
@@ -79,7 +91,10 @@
 
 /** Replication is resumed only within this time after writing the row began. */
 const RESUME_WINDOW_MS: Milliseconds = 300;
-/** Time for a target to execute an order; orders need no slot. */
+/**
+ * Time for a target to execute an order. Orders occupy no slot of the target,
+ * that is, they don't wait for statements.
+ */
 const ORDER_TIMEOUT_MS: Milliseconds = 400;
 /** Time for open transactions at a leaving primary to end. */
 const OPEN_TRANSACTION_GRACE_MS: Milliseconds = 120;
@@ -92,7 +107,10 @@
 const POLL_INTERVAL_MS: Milliseconds = 20;
 /** Time for a target to report the primary role after a confirmed promotion. */
 const LEADERSHIP_TIMEOUT_MS: Milliseconds = 3000;
-/** Promotion orders per selected target, each with its own epoch. */
+/**
+ * Maximum number of promotion orders per selected target, each with its own
+ * epoch.
+ */
 const MAXIMUM_ORDERS = 6;
 /**
  * A promotion order is usually answered within milliseconds. Without an answer
@@ -101,7 +119,8 @@
  */
 const PROMOTION_REPLY_TIMEOUT_MS: Milliseconds = 300;
 /**
- * Covers a promotion of up to a second and the status probe that detects it.
+ * Time that covers a promotion of up to a second and the status probe that
+ * detects it.
  */
 const UNANSWERED_LEADERSHIP_TIMEOUT_MS: Milliseconds = 1250;
 /**
@@ -118,7 +137,6 @@
   readonly status: TargetStatus;
 }
 
-/** Creates the steps for one group. */
 export function createSuccessionSteps(
   options: SuccessionStepsOptions,
 ): SuccessionSteps {
@@ -220,7 +238,7 @@
     return {target: link.target, received, isLeaving, dataCentre};
   }
 
-  /** Falls back to pausing the replicas if the primary does not answer. */
+  /** If the primary does not answer, the replicas are paused instead. */
   function* chooseAfterDemotion(
     leader: TargetLink,
     term: number,
