--- a/packages/failover/__tests__/model_membership.ts
+++ b/packages/failover/__tests__/model_membership.ts
@@ -38,7 +38,10 @@
   | {kind: 'replicate'; from: number; to: number; count: number}
   | {kind: 'promote'; reached: number[]; avoided: number}
   | {kind: 'see'; observer: number; member: number}
-  /** Members copy a primary's log, then an observer sees them and it. */
+  /**
+   * Members copy a primary's log, then an observer gets their statuses and that
+   * of the primary.
+   */
   | {kind: 'settle'; from: number; members: number[]; observer: number}
   | {kind: 'reconfigure'; observer: number; wanted: number[]};
 
--- a/packages/failover/__tests__/probe_intervals.spec.ts
+++ b/packages/failover/__tests__/probe_intervals.spec.ts
@@ -11,9 +11,12 @@
 } from './cluster';
 
 const SEEDS = [1, 2, 3];
-/** Longest primary outage in a large system. */
+/** Longest accepted primary outage in a large system. */
 const LARGE_SYSTEM_LIMIT_MS = 6000;
-/** A broken connection is noticed immediately, at any probe interval. */
+/**
+ * Longest accepted outage after a primary is killed. Its broken connection is
+ * noticed immediately, at any probe interval.
+ */
 const KILLED_LIMIT_MS = 1500;
 const LARGE_GROUP_COUNT = 5667;
 const UNUSED_TIME_MS = 30_000;
@@ -29,7 +32,10 @@
   return {cluster, primary};
 }
 
-/** Loses the primary at different times between two status probes. */
+/**
+ * Checks that a primary is replaced in time if it is lost at different times
+ * between two status probes.
+ */
 function checkReplaced(
   limit: number,
   lose: (cluster: Cluster, primary: MemberId) => void,
--- a/packages/failover/__tests__/promoters.spec.ts
+++ b/packages/failover/__tests__/promoters.spec.ts
@@ -63,7 +63,7 @@
       for (const seed of SEEDS) {
         const {cluster, primary} = startWriting(seed);
         const seen = recordPrimaries(cluster);
-        // The first proxy freezes right after sending the step's requests,
+        // The first proxy is suspended right after sending the step's requests,
         // which arrive after the next proxy has finished its promotion.
         let isFrozen = false;
         cluster.network.delayMessages(
@@ -103,7 +103,7 @@
       cluster.startWriter(2);
       cluster.network.killHost(proxyHost(1));
       cluster.timer.advance(500);
-      // The first proxy freezes while promoting, and the third takes over.
+      // The first proxy is suspended while promoting; the third takes over.
       const late: string[] = [];
       cluster.network.delayMessages(
         ({from, to, method, isAnswer}) => {
--- a/packages/failover/src/candidate_selection.ts
+++ b/packages/failover/src/candidate_selection.ts
@@ -4,7 +4,7 @@
 import {canVote} from './member_status';
 import {votersOf} from './voters';
 
-/** Criteria that decide between members whose logs are equally safe. */
+/** Criteria of the selection in addition to the members' logs. */
 export interface CandidatePreferences {
   /** Number of voters, used if the logs contain no configuration. */
   readonly groupSize: number;
--- a/packages/failover/src/confirmation_waiters.ts
+++ b/packages/failover/src/confirmation_waiters.ts
@@ -38,7 +38,8 @@
 }
 
 /**
- * Settled waiters stay at the front of the list until there are more than this.
+ * Settled waiters at the front of the list are removed once there are more than
+ * this, or once no other waiter is left.
  */
 const COMPACTION_SIZE = 1024;
 
--- a/packages/failover/src/failure_detector.ts
+++ b/packages/failover/src/failure_detector.ts
@@ -57,7 +57,8 @@
 export interface FailureDetectorOptions {
   readonly context: PromotionContext;
   /**
-   * Rank of this proxy; 0 acts first, `undefined` does not monitor the group.
+   * Rank of this proxy, where 0 acts first; `undefined` if it doesn't monitor
+   * the group.
    */
   rank(): number | undefined;
   isLeaving(memberId: string): boolean;
--- a/packages/failover/src/group_members.ts
+++ b/packages/failover/src/group_members.ts
@@ -29,7 +29,10 @@
   all(): readonly Member[];
   /** The voters of the configuration, or of the manifest if there is none. */
   voters(): Voters;
-  /** True if the manifest in force no longer contains the member. */
+  /**
+   * True if the manifest no longer contains the member at its address; false
+   * while the manifest is older than the configuration.
+   */
   isUnwanted(memberId: string): boolean;
   setGroup(group: Group, manifestVersion: number): void;
   /** Adopts the newest log's configuration; returns true if it changed. */
--- a/packages/failover/src/group_problem.ts
+++ b/packages/failover/src/group_problem.ts
@@ -173,9 +173,10 @@
 }
 
 /**
- * True if so many replicas have lost contact with the primary that no record
- * can be confirmed. A replica that was unreachable itself counts only after it
- * has had time to reconnect to its primary.
+ * True if a majority of the members are replicas that have lost contact with
+ * the primary, so that no record can be confirmed. A replica that was
+ * unreachable itself counts only after it has had time to reconnect to its
+ * primary.
  */
 function isIsolated(
   {members, isolationLimit, rejoinLimit}: GroupProblemInput,
--- a/packages/failover/src/group_view.ts
+++ b/packages/failover/src/group_view.ts
@@ -13,7 +13,7 @@
   readonly primary: string;
 }
 
-/** State of a member according to its last status. */
+/** Last known state of a member; a member without a status has an empty log. */
 export interface MemberView {
   readonly member: Member;
   /** False while the control connection is down or unresponsive. */
--- a/packages/failover/src/managed_group_view.ts
+++ b/packages/failover/src/managed_group_view.ts
@@ -34,7 +34,8 @@
 import {DEFAULT_FAILOVER_TIMINGS, FailoverTimings} from './timings';
 
 /**
- * A group's view with the operations that are reserved to the group directory.
+ * A group's view with the operations of its administration, which requests
+ * don't use.
  */
 export interface ManagedGroupView extends GroupView {
   /** Applies a new manifest's description; its version is 0 by default. */
@@ -43,11 +44,15 @@
   learnLeadership(leadership: Leadership): void;
   /** The newest leadership known to be confirmed; it may have ended. */
   lastLeadership(): Leadership | undefined;
-  /** Starts or stops failure detection if `watchRank` has changed. */
+  /**
+   * Starts or stops failure detection, which runs while `watchRank` returns a
+   * rank.
+   */
   updateMonitoring(): void;
   /**
    * Carries out an operator's request to change the primary. Without
-   * `successor`, the reachable member with the most records is chosen.
+   * `successor`, the reachable voter with the most records that is not leaving
+   * is chosen.
    */
   requestSwitchOver(
     successor?: string,
--- a/packages/failover/src/member_link.ts
+++ b/packages/failover/src/member_link.ts
@@ -6,9 +6,9 @@
 import type {Result} from 'ts-results';
 
 /**
- * `connecting`: no connection has been tried to its end yet. `open`: the
- * member responds. `silent`: the connection broke or is unresponsive, and a
- * new one is being tried. `lost`: the new connection has failed too.
+ * `connecting`: the first attempt to connect has not ended yet. `open`: the
+ * member responds. `silent`: the connection broke or is unresponsive, and a new
+ * one is being tried. `lost`: the new connection has failed too.
  */
 export type LinkCondition = 'connecting' | 'open' | 'silent' | 'lost';
 
@@ -29,7 +29,7 @@
   status(): TargetStatus | undefined;
   /** Monotonic time of the last status; -Infinity if there is none. */
   statusAt(): Milliseconds;
-  /** Monotonic time since when the member has not been lost. */
+  /** Monotonic time since which the member has not been lost. */
   reachableSince(): Milliseconds;
   /** Monotonic time of the first status from the target's present process. */
   incarnationSince(): Milliseconds;
--- a/packages/failover/src/member_preferences.ts
+++ b/packages/failover/src/member_preferences.ts
@@ -21,7 +21,7 @@
    * manifest no longer contains it.
    */
   isLeaving(memberId: string): boolean;
-  /** Decides between candidates with equal logs; the lowest cost wins. */
+  /** Cost of a candidate; of those with equal logs the lowest cost wins. */
   cost(memberId: string): number;
 }
 
--- a/packages/failover/src/probe_intervals.ts
+++ b/packages/failover/src/probe_intervals.ts
@@ -25,7 +25,7 @@
 /** Smallest number of groups for which the intervals are longest. */
 const LONGEST_INTERVALS_GROUP_COUNT = 2048;
 /**
- * With these intervals a primary outage ends within 6 s. After an unanswered
+ * Chosen because a primary outage must end within 6 s. After an unanswered
  * probe it takes 0.5 s to establish the outage, and a promotion takes another
  * 0.5 s. The limit also holds for the next rank if the first failure detector
  * is lost with the primary.
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -40,7 +40,6 @@
   readonly barrier: Milliseconds;
 }
 
-/** Result of a promotion. */
 export type PromotionOutcome =
   | {
       readonly kind: 'promoted';
@@ -61,9 +60,9 @@
   readonly runtime: Runtime;
   readonly timings: FailoverTimings;
   readonly state: GroupState;
-  /** 0 to 65535, see `promoterNumberOf`. */
+  /** Number from 0 to 65535, as returned by `promoterNumberOf`. */
   readonly promoterNumber: number;
-  /** Decides between candidates with equal logs; the lowest cost wins. */
+  /** Cost of a candidate; of those with equal logs the lowest cost wins. */
   cost(memberId: string): number;
 }
 
--- a/packages/failover/src/reconciliation.ts
+++ b/packages/failover/src/reconciliation.ts
@@ -11,7 +11,7 @@
 export interface Follower {
   readonly id: string;
   readonly status: TargetStatus;
-  /** Monotonic time at which the member's present process was first seen. */
+  /** Monotonic time of the first status from the member's present process. */
   readonly incarnationSince: Milliseconds;
 }
 
--- a/packages/failover/src/round_result.ts
+++ b/packages/failover/src/round_result.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Succeeds if a majority of the voters in the primary's log, and the primary
- * itself, answered with the primary's term. Then no later primary had
+ * Returns the result if a majority of the voters in the primary's log, and the
+ * primary itself, answered with the primary's term. Then no later primary had
  * confirmed a record when the probes were sent, and the primary's log holds
  * every record confirmed until then. Returns `undefined` otherwise.
  */
--- a/packages/failover/src/status_poll.ts
+++ b/packages/failover/src/status_poll.ts
@@ -28,7 +28,10 @@
   readonly refused: boolean;
   readonly responses: readonly TargetStatus[];
   readonly groupSize: number;
-  /** Greatest age of a primary's last message to a replica in contact. */
+  /**
+   * Age of the primary's last message up to which a replica counts as in
+   * contact with it.
+   */
   readonly heartbeatLimit: Milliseconds;
 }
 
--- a/packages/failover/src/terms.ts
+++ b/packages/failover/src/terms.ts
@@ -1,5 +1,5 @@
 /**
- * Allocation of terms. A term is `counter * 65536 + promoter number`, so that
+ * Allocates terms. A term is `counter * 65536 + promoter number`, so that
  * promoters with different numbers never use the same term. If two promoters
  * share a number, at most one can still succeed in a term: a member grants a
  * fence only above every term it has seen, hence once per term, and a promoter
--- a/packages/failover/src/timings.ts
+++ b/packages/failover/src/timings.ts
@@ -14,7 +14,7 @@
   readonly reconnectDelayLimit: Milliseconds;
   /** Time for the answer to any request to a member. */
   readonly requestTimeout: Milliseconds;
-  /** Time after its last use at which a group's streams are closed. */
+  /** Time without use after which a group's streams are closed. */
   readonly idleTimeout: Milliseconds;
 
   /** Interval of the rounds that update the bounds of replicas' ages. */
@@ -28,7 +28,10 @@
   readonly monitorInterval: Milliseconds;
   /** Delay per rank, so that failure detectors rarely act concurrently. */
   readonly rankDelay: Milliseconds;
-  /** Greatest age of a primary's last message to a replica in contact. */
+  /**
+   * Age of the primary's last message up to which a replica counts as in
+   * contact with it.
+   */
   readonly primaryHeartbeatLimit: Milliseconds;
   /**
    * Time for which a primary that only this proxy can't reach is not replaced
@@ -58,7 +61,10 @@
   /** Shortest time between follow requests to a member, or reconfigurations. */
   readonly followInterval: Milliseconds;
 
-  /** Time for a successor to catch up before a switch-over. */
+  /**
+   * Time for a successor to catch up before a switch-over, and the delay per
+   * rank of the switch-over from a leaving primary.
+   */
   readonly catchUpTimeout: Milliseconds;
   /** Number of records that a caught-up member may be missing. */
   readonly catchUpRecords: number;
--- a/packages/request-ledger/src/ledger_policies.ts
+++ b/packages/request-ledger/src/ledger_policies.ts
@@ -50,7 +50,9 @@
 export const TYPICAL_FAILOVER_MS: Milliseconds = 1_000;
 /** Time without a primary after which requests no longer wait for one. */
 export const MAXIMUM_FAILOVER_WAIT_MS: Milliseconds = 5_000;
-/** After this time without a majority, no failover is expected soon. */
+/**
+ * Time without a reachable majority after which no failover is expected soon.
+ */
 export const MAJORITY_LOSS_TOLERANCE_MS: Milliseconds = 500;
 
 /** Attempt time-out in multiples of the predicted time until the answer. */
--- a/packages/request-ledger/src/primary_calls.ts
+++ b/packages/request-ledger/src/primary_calls.ts
@@ -20,7 +20,7 @@
 import {leadershipAbove, nextChange, reachesMajority} from './group_access';
 import {RequestContext, remainingTime} from './request_context';
 
-/** What one attempt is sent with; `timeout` is in milliseconds. */
+/** Parameters with which one attempt is sent; `timeout` is in milliseconds. */
 export interface PrimaryAttempt {
   readonly pool: TargetPool;
   readonly work: RequestAttributes;
@@ -31,7 +31,7 @@
 /** Sends one attempt, normally through its pool, and returns the answer. */
 export type SendAttempt<A> = (attempt: PrimaryAttempt) => Future<A>;
 
-/** How a request to the primary ended. */
+/** Result of a request to the primary, after any number of attempts. */
 export type PrimaryOutcome<A> =
   | {
       readonly kind: 'answered';
--- a/packages/request-ledger/src/request_context.ts
+++ b/packages/request-ledger/src/request_context.ts
@@ -1,11 +1,13 @@
-/** State of one request, passed to all functions that serve it. */
+/**
+ * Defines the state of a request that is passed to the functions serving it.
+ */
 import type {RetryBudget} from '@kelpstep/pool';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
 
 import type {GroupAccess} from './group_access';
 import type {LedgerPolicies} from './ledger_policies';
 
-/** Data collected while a request is served, for metrics and the answer. */
+/** Data collected while a request is served, for metrics and logs. */
 export interface RequestNotes {
   retries: number;
   queueTime: Milliseconds;
@@ -14,7 +16,7 @@
   age: Milliseconds | undefined;
 }
 
-/** What the functions that serve a request need to know about it. */
+/** Attributes of a request, and the group, policies and budget that it uses. */
 export interface RequestContext {
   readonly runtime: Runtime;
   readonly group: GroupAccess;
--- a/packages/request-ledger/src/transaction_id.ts
+++ b/packages/request-ledger/src/transaction_id.ts
@@ -1,7 +1,8 @@
 /**
- * Transaction ids. An id contains the proxy that owns the transaction, so that
- * any proxy can forward to it, and the data of the commit's idempotency key, so
- * that any proxy can settle the commit after the owner has stopped.
+ * Formats and parses transaction ids. An id contains the proxy that owns the
+ * transaction, so that any proxy can forward to it, and the data of the
+ * commit's idempotency key, so that any proxy can settle the commit after the
+ * owner has stopped.
  */
 import type {IdempotencyKey} from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
@@ -14,7 +15,7 @@
   readonly group: string;
   /** Wall clock at the begin, in milliseconds since 1970. */
   readonly begunAt: Milliseconds;
-  /** Random hexadecimal digits. */
+  /** Random part of the id: `NONCE_DIGITS` hexadecimal digits. */
   readonly nonce: string;
 }
 
--- a/packages/request-ledger/src/transaction_types.ts
+++ b/packages/request-ledger/src/transaction_types.ts
@@ -32,7 +32,10 @@
   readonly execution: Execution;
   /** Member id of the primary in which the transaction is open. */
   readonly target: string;
-  /** Monotonic time at which the target was verified to be the primary. */
+  /**
+   * Monotonic time at which `begin` requested its read barrier. The answer
+   * includes every record that was confirmed by then.
+   */
   readonly freshAt: Milliseconds;
 }
 
@@ -59,7 +62,7 @@
     id: string,
     key: IdempotencyKey,
   ): Task<Result<Execution, Failure>>;
-  /** Returns the position that `begin` returned for the transaction. */
+  /** Rolls the transaction back. Returns the position that `begin` returned. */
   rollBack(
     context: RequestContext,
     id: string,
@@ -69,7 +72,7 @@
   whenEmpty(): Future<undefined>;
   /**
    * Rolls back every transaction: at once if it is idle, otherwise when its
-   * running statement ends.
+   * running statement ends. New transactions are then refused with `STOPPING`.
    */
   endAll(): void;
 }
--- a/packages/routing/__tests__/deployment.ts
+++ b/packages/routing/__tests__/deployment.ts
@@ -315,7 +315,10 @@
         service.reconfigure();
       });
     },
-    /** A group that is not monitored has no failover. */
+    /**
+     * Starts or stops monitoring; a group that is not monitored has no
+     * failover.
+     */
     setMonitored(monitored: boolean) {
       isMonitored = monitored;
       proxies.forEach(({views}) => views.reviewWatching());
--- a/packages/routing/src/group_record.ts
+++ b/packages/routing/src/group_record.ts
@@ -190,7 +190,10 @@
     return best?.member.id;
   }
 
-  /** Keeps as many connections to the likely next primary as to the primary. */
+  /**
+   * Keeps as many connections to the likely next primary as to the primary, and
+   * one to each other member. Leaving members and idle groups get none.
+   */
   function warmConnections(): void {
     const isIdle = timer.now() - usedAt > GROUP_IDLE_TIMEOUT_MS;
     const primary = view.leadership()?.primary;
--- a/packages/routing/src/local_transactions.ts
+++ b/packages/routing/src/local_transactions.ts
@@ -50,7 +50,10 @@
   readonly name: TransactionName;
 }
 
-/** Result of a transaction method, not typed because the method varies. */
+/**
+ * Task with the result of a transaction method, whose type depends on the
+ * method.
+ */
 export type TransactionReply = Task<Result<unknown, Failure>>;
 
 /** Serves requests of transactions without contacting another proxy. */
--- a/packages/routing/src/read_policy.ts
+++ b/packages/routing/src/read_policy.ts
@@ -56,8 +56,8 @@
    */
   readonly primaryPenalty: Milliseconds;
   /**
-   * Random part of the cost as a ratio, which spreads the proxies' reads over
-   * the targets.
+   * Ratio by which the cost varies randomly, so that the proxies' reads spread
+   * over the targets.
    */
   readonly jitterRatio: number;
   /**
--- a/packages/routing/src/read_types.ts
+++ b/packages/routing/src/read_types.ts
@@ -22,7 +22,7 @@
   readonly age: Milliseconds;
 }
 
-/** What the functions that serve a read need to know about it. */
+/** Context in which a read is served: its request, its group and the policy. */
 export interface ReadOptions {
   readonly context: RequestContext;
   readonly record: GroupRecord;
--- a/packages/routing/src/request_validation.ts
+++ b/packages/routing/src/request_validation.ts
@@ -81,7 +81,10 @@
   isManifestCurrent(): boolean;
 }
 
-/** Time that a proxy needs to learn whether a newer manifest is in force. */
+/**
+ * Retry delay in which a proxy normally learns whether a newer manifest is in
+ * force.
+ */
 const MANIFEST_CONFIRMATION_TIME_MS: Milliseconds = 300;
 
 /** The validator indexes each manifest once. */
@@ -132,8 +135,8 @@
   }
 
   /**
-   * Rejects an unknown name. While a newer manifest that defines the name may
-   * be in force, the failure is temporary.
+   * Returns the failure for an unknown name. It is temporary while a newer
+   * manifest that defines the name may be in force.
    */
   function rejectName(
     name: 'UNKNOWN_ACCOUNT' | 'UNKNOWN_GROUP' | 'UNKNOWN_KIND',
--- a/packages/routing/src/transaction_requests.ts
+++ b/packages/routing/src/transaction_requests.ts
@@ -92,7 +92,8 @@
   }
 
   /**
-   * Handles an unresponsive owner; only a commit can be resolved without it.
+   * Returns the answer if the owner does not respond. Only a commit can be
+   * resolved without the owner.
    */
   function* resolveWithoutOwner(
     method: ForwardedMethod,
--- a/packages/succession/src/succession_monitor.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -207,7 +207,10 @@
     }
   }
 
-  /** True if only this proxy fails to reach the primary. */
+  /**
+   * True if this proxy can't reach the primary but another proxy reports that
+   * it does.
+   */
   function* isPartitionedFromLeader(): Task<boolean> {
     const reason = findReasonForChange();
     const isUnreachable = reason === 'lost' || reason === 'missing';
--- a/packages/succession/src/succession_steps.ts
+++ b/packages/succession/src/succession_steps.ts
@@ -92,8 +92,8 @@
 /** Replication is resumed only within this time after writing the row began. */
 const RESUME_WINDOW_MS: Milliseconds = 300;
 /**
- * Time for a target to execute an order. Orders occupy no slot of the target,
- * that is, they don't wait for statements.
+ * Time for a target to execute an order. Orders are sent on the control
+ * connection, so they don't wait for statements.
  */
 const ORDER_TIMEOUT_MS: Milliseconds = 400;
 /** Time for open transactions at a leaving primary to end. */
