--- a/packages/failover/__tests__/model_membership.ts
+++ b/packages/failover/__tests__/model_membership.ts
@@ -1,7 +1,7 @@
 /**
  * Model of a group with changing members for property tests. Logs contain
  * configurations, and random steps change them within the targets' contract.
- * Observers see snapshots that may be arbitrarily old.
+ * Observers get snapshots of members that may be arbitrarily old.
  */
 import {
   Configuration,
@@ -38,7 +38,10 @@
   | {kind: 'replicate'; from: number; to: number; count: number}
   | {kind: 'promote'; reached: number[]; avoided: number}
   | {kind: 'see'; observer: number; member: number}
-  /** Members copy a primary's log, then an observer sees them and it. */
+  /**
+   * Members copy a primary's log, then an observer gets their statuses and that
+   * of the primary.
+   */
   | {kind: 'settle'; from: number; members: number[]; observer: number}
   | {kind: 'reconfigure'; observer: number; wanted: number[]};
 
--- a/packages/failover/src/member_preferences.ts
+++ b/packages/failover/src/member_preferences.ts
@@ -1,9 +1,11 @@
-/** Decides which members get no new requests and which to prefer as primary. */
+/**
+ * Determines which members get no new requests and which are preferred as
+ * primary.
+ */
 import type {Member} from '@kelpstep/manifest';
 
 import type {GroupMembers} from './group_members';
 
-/** Options of `createMemberPreferences`. */
 export interface MemberPreferencesOptions {
   readonly members: Pick<GroupMembers, 'all' | 'isUnwanted'>;
   /** Data centre of this proxy; preferred when candidates' logs are equal. */
@@ -19,14 +21,13 @@
    * manifest no longer contains it.
    */
   isLeaving(memberId: string): boolean;
-  /** Decides between candidates with equal logs; the lowest cost wins. */
+  /** Cost of a candidate; of those with equal logs the lowest cost wins. */
   cost(memberId: string): number;
 }
 
 const LEAVING_COST = 1000;
 const OTHER_DATA_CENTRE_COST = 100;
 
-/** Creates the preferences of a group. */
 export function createMemberPreferences(
   options: MemberPreferencesOptions,
 ): MemberPreferences {
--- a/packages/failover/src/status_poll.ts
+++ b/packages/failover/src/status_poll.ts
@@ -17,20 +17,25 @@
 export type PromotionDecision =
   'go' | 'primary_works' | 'primary_heard' | 'no_majority';
 
-/** Input of `evaluateStatusPoll`. */
 export interface StatusPollInput {
   readonly problem: Problem;
   /** Address of the primary concerned. */
   readonly address: string | undefined;
-  /** True if no process listens there, which outdates the replicas' reports. */
+  /**
+   * True if no process listens at the address, which outdates the replicas'
+   * reports of contact.
+   */
   readonly refused: boolean;
   readonly responses: readonly TargetStatus[];
   readonly groupSize: number;
-  /** Greatest age of a primary's last message to a replica in contact. */
+  /**
+   * Age of the primary's last message up to which a replica counts as in
+   * contact with it.
+   */
   readonly heartbeatLimit: Milliseconds;
 }
 
-/** Decides about a promotion from the members' statuses. */
+/** Decides from the members' statuses whether to start a promotion. */
 export function evaluateStatusPoll(input: StatusPollInput): PromotionDecision {
   const {problem, responses} = input;
   if (isPrimaryWorking(problem, responses)) {
