--- a/packages/membership/__tests__/fake_network.ts
+++ b/packages/membership/__tests__/fake_network.ts
@@ -63,7 +63,7 @@
   };
 }
 
-/** A proxy in the network. */
+/** A proxy, and what it has sent and received so far. */
 export interface FakeProxy {
   readonly address: string;
   readonly membership: RunningMembership;
@@ -77,12 +77,18 @@
   exchangesSent: number;
 }
 
-/** Creates a network of proxies in virtual time. */
+/**
+ * Creates a network in virtual time. With `checksSchema`, each message is
+ * parsed by its schema.
+ */
 export function createFakeNetwork(seed = 1, checksSchema = true) {
   const timer = createVirtualTimer();
   const random = createRandom(seed);
   const proxies = new Map<string, FakeProxy>();
-  /** True if messages from one address to another are lost. */
+  /**
+   * `isPartitioned` returns true if messages from one address to another are
+   * lost; tests replace it.
+   */
   const state = {
     isPartitioned: (unusedFrom: string, unusedTo: string) => false,
   };
--- a/packages/membership/__tests__/idempotent_request.spec.ts
+++ b/packages/membership/__tests__/idempotent_request.spec.ts
@@ -17,7 +17,8 @@
 const FAILURE = createFailure('NOT_READY');
 
 /**
- * Sends a request whose attempts end as given; returns its ends and attempts.
+ * Sends a request whose attempts have the given outcomes, a time-out beyond the
+ * last one. Returns the number of attempts and the results with their times.
  */
 function send(kinds: ReadonlyArray<RequestFailure['kind'] | 'answer'>) {
   const timer = createVirtualTimer();
--- a/packages/membership/src/create_membership.ts
+++ b/packages/membership/src/create_membership.ts
@@ -34,7 +34,9 @@
 } from './rendezvous';
 import {serveExchanges} from './serve_exchanges';
 
-/** Dependencies and settings of a membership. */
+/**
+ * Settings of a membership. Without `paceBase`, `DEFAULT_BASE_TIMING` applies.
+ */
 export interface MembershipOptions {
   readonly runtime: Runtime;
   readonly self: ProxyIdentity;
@@ -62,11 +64,14 @@
   spread(): void;
   /** Applies the platform's list of instances, which may be out of date. */
   noteInstances(instances: readonly ListedInstance[]): void;
-  /** True if the platform's list recently showed a target as leaving. */
+  /**
+   * True if the platform's list recently showed a target with this id and
+   * address as leaving.
+   */
   isTargetLeaving(target: LeavingTarget): boolean;
   /**
-   * A proxy that is not known to be dead, even if it is stopping; undefined
-   * otherwise.
+   * Returns a known proxy that is not dead, even if it is stopping; otherwise
+   * undefined.
    */
   find(proxy: string, incarnation: string): ProxyIdentity | undefined;
   /** Registers handlers for `peer.exchange` and its short form. */
@@ -82,7 +87,10 @@
 
 const RING_PEER_COUNT = 2;
 const INTERVAL_JITTER_RATIO = 0.1;
-/** Batches updates that arrive together into one burst of exchanges. */
+/**
+ * Delay in which updates that arrive together are batched into one burst of
+ * exchanges.
+ */
 const BURST_DELAY_MS = 5;
 /** Average number of additional proxies that verify a suspicion. */
 const VERIFIER_COUNT = 3;
@@ -179,7 +187,9 @@
   }
 
   /**
-   * Lets suspects refute through proxies other than the one that suspects them.
+   * Starts an exchange with each suspect at such a probability that on average
+   * `VERIFIER_COUNT` proxies do so. A suspect can thus refute although the
+   * proxy that suspects it doesn't reach it.
    */
   function verifySuspects(): void {
     const suspects = table
--- a/packages/membership/src/exchanges.ts
+++ b/packages/membership/src/exchanges.ts
@@ -13,16 +13,17 @@
 import type {GossipTiming} from './gossip_timing';
 import {MemberEntry, memberKey} from './member_table';
 
-/** Sends a state to a peer and returns the peer's state. */
+/** Sends a state to the peer at an address and returns that peer's state. */
 export type PeerExchange = (
   address: string,
   state: PeerState,
 ) => Future<Result<PeerState, Failure>>;
 
-/** Gossip exchanges of one proxy. */
+/** Sends this proxy's gossip state to its peers and merges their states. */
 export interface Exchanges {
   /**
-   * Exchanges state with a peer; returns its reply or undefined without one.
+   * Exchanges state with a peer and returns its reply; undefined if there is
+   * none or another exchange with the address is in progress.
    */
   exchangeWith(
     peer: GossipPeer,
@@ -33,12 +34,15 @@
   /** Merges a state; `address` is where differing entries can be requested. */
   receive(state: PeerState, address: string): void;
   /**
-   * Requests differing entries from a peer until this view no longer changes.
+   * Requests differing entries from a peer until the views are equal, a reply
+   * changes nothing or is missing, or the limit of rounds is reached.
    */
   compareViews(address: string): Task<void>;
 }
 
-/** Dependencies of the exchanges. */
+/**
+ * `exchange` sends a state to an address; `timing` is read for each exchange.
+ */
 export interface ExchangesOptions {
   readonly runtime: Runtime;
   readonly gossipState: GossipState;
@@ -54,7 +58,7 @@
  */
 const PAUSE_DETECTION_RATIO = 1.5;
 
-/** Creates the exchanges of a proxy. */
+/** Creates exchanges, of which at most one per address is in progress. */
 export function createExchanges(options: ExchangesOptions): Exchanges {
   const {runtime, gossipState, exchange, timing} = options;
   const {timer} = runtime;
--- a/packages/membership/src/gossip_queue.ts
+++ b/packages/membership/src/gossip_queue.ts
@@ -5,19 +5,21 @@
 export interface GossipQueue<T> {
   /** Adds an item and drops an older one with the same key. */
   add(key: string, item: T): void;
-  /** Items for one message, the least often sent ones first. */
+  /**
+   * Selects the items for one message, the least often sent ones first, and
+   * counts them as sent.
+   */
   take(excludedKeys?: ReadonlySet<string>): T[];
   size(): number;
 }
 
-/** Limits of a queue. */
 export interface GossipQueueOptions {
   readonly timer: TimerService;
   /** Maximum number of items in one message. */
   readonly itemsPerMessage: number;
-  /** Number of times that an item is sent. */
+  /** Maximum number of times that an item is sent. */
   readonly transmissions: () => number;
-  /** Time after which an item is dropped even if it was not sent. */
+  /** Time after which an item is dropped even if it was sent less often. */
   readonly lifetime: Milliseconds;
 }
 
@@ -27,7 +29,6 @@
   sent: number;
 }
 
-/** Creates an empty queue. */
 export function createGossipQueue<T>(
   options: GossipQueueOptions,
 ): GossipQueue<T> {
--- a/packages/membership/src/gossip_state.ts
+++ b/packages/membership/src/gossip_state.ts
@@ -42,13 +42,18 @@
 
 /** Optional contents of a state. */
 export interface StateContents {
-  /** State just received: its updates are left out and its buckets answered. */
+  /**
+   * State that this one replies to: updates that it contains are left out, and
+   * entries that differ from its buckets are included.
+   */
   readonly received?: PeerState;
   /** Requests all entries that differ in the peer's view. */
   readonly requestDifferences?: boolean;
 }
 
-/** Gossip state of one proxy. */
+/**
+ * Known proxies and leaving targets, and the updates that are still to be sent.
+ */
 export interface GossipState {
   readonly selfKey: string;
   readonly table: MemberTable;
@@ -68,7 +73,7 @@
   applyInstanceList(instances: readonly ListedInstance[]): void;
 }
 
-/** Dependencies and listeners of the gossip state. */
+/** The listeners are called synchronously after a change. */
 export interface GossipStateOptions {
   readonly runtime: Runtime;
   readonly self: ProxyIdentity;
@@ -76,7 +81,7 @@
   readonly timing: () => GossipTiming;
   /** Called when there are updates to distribute immediately. */
   readonly onUpdates: () => void;
-  /** Called when the live proxies or the leaving targets change. */
+  /** Called when the live proxies or the leaving targets may have changed. */
   readonly onChange: () => void;
 }
 
@@ -84,7 +89,10 @@
 /** Limits the entries that a proxy sends to a peer with a differing view. */
 const DIFFERENCES_PER_MESSAGE = 128;
 const UPDATE_LIFETIME_MS = 15_000;
-/** Added to log2 of the proxy count for lost and duplicate messages. */
+/**
+ * Transmissions of an update beyond log2 of the proxy count, which compensate
+ * for lost and duplicate messages.
+ */
 const EXTRA_TRANSMISSION_COUNT = 2;
 
 /** Creates the gossip state of a proxy that knows only itself. */
--- a/packages/membership/src/gossip_timing.ts
+++ b/packages/membership/src/gossip_timing.ts
@@ -21,13 +21,16 @@
   readonly minimumBurstInterval: Milliseconds;
 }
 
-/** Computes the timing; passed in, so that it can be replaced. */
+/**
+ * Computes the timing from the number of proxies. The membership receives it as
+ * an option, so that it can be replaced.
+ */
 export type GossipTimingPolicy = (
   proxies: number,
   base: BaseGossipTiming,
 ) => GossipTiming;
 
-/** Up to this many proxies the base interval is kept. */
+/** Largest number of proxies at which the base interval is kept. */
 const SMALL_CLUSTER_SIZE = 32;
 /** Upper bound of the interval relative to the base interval. */
 const MAXIMUM_SLOWDOWN_RATIO = 15;
--- a/packages/membership/src/hash.ts
+++ b/packages/membership/src/hash.ts
@@ -12,7 +12,6 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** Hash of a text. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index++) {
--- a/packages/membership/src/instance_polling.ts
+++ b/packages/membership/src/instance_polling.ts
@@ -3,7 +3,7 @@
 import type {ListedInstance} from '@kelpstep/protocol';
 import {Milliseconds, Runtime, Task, sleep, waitFor} from '@kelpstep/runtime';
 
-/** Dependencies and settings of the polling. */
+/** The interval is 1 s by default; each wait is varied by up to 20 per cent. */
 export interface InstancePollingOptions {
   readonly runtime: Runtime;
   readonly platform: Pick<PlatformClient, 'listInstances'>;
--- a/packages/membership/src/leaving_targets.ts
+++ b/packages/membership/src/leaving_targets.ts
@@ -21,7 +21,6 @@
   return `${id} ${address}`;
 }
 
-/** Creates an empty set. */
 export function createLeavingTargets(timer: TimerService): LeavingTargets {
   const expiryByKey = new Map<string, Milliseconds>();
 
@@ -32,8 +31,8 @@
 
   return {
     addOrRefresh(target) {
-      // Refreshed only after half of its lifetime: gossip that still circulates
-      // must not renew the entry, or it would never expire.
+      // An entry is refreshed only after half of its lifetime: gossip that
+      // still circulates must not renew it, or it would never expire.
       if (isFresh(target, LEAVING_TARGET_LIFETIME_MS / 2)) {
         return false;
       }
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -9,7 +9,7 @@
 
 import {hashText, mixHashes} from './hash';
 
-/** A proxy's entry in the table. */
+/** The current update on a proxy with its position on the ring. */
 export interface MemberEntry {
   readonly key: string;
   readonly update: PeerUpdate;
@@ -57,7 +57,8 @@
 }
 
 /**
- * Dead proxies are excluded because each proxy removes them at another time.
+ * Dead proxies are excluded because each proxy removes them at a different
+ * time.
  */
 function checksumOf({update, hash}: MemberEntry): number {
   const {revision, leaving, condition} = update;
@@ -87,7 +88,6 @@
   return leaving === known.leaving ? undefined : {...known, leaving};
 }
 
-/** Creates an empty table. */
 export function createMemberTable(): MemberTable {
   const entries = new Map<string, MemberEntry>();
   const buckets = new Uint32Array(VIEW_BUCKETS);
@@ -148,7 +148,8 @@
       const bucket = bucketOf(hash);
       return checksums[bucket] !== buckets[bucket];
     });
-    // Ordered by bucket, so that repeated requests cover all buckets.
+    // The entries are ordered by bucket, so that repeated requests cover all
+    // buckets.
     return differing
       .sort((left, right) => left.hash - right.hash)
       .slice(0, limit)
--- a/packages/membership/src/rendezvous.ts
+++ b/packages/membership/src/rendezvous.ts
@@ -8,7 +8,7 @@
 /** Proxy id and data centre, the inputs of the selection. */
 export type LocatedProxy = Pick<ProxyIdentity, 'proxy' | 'dataCentre'>;
 
-/** Candidates of one data centre. */
+/** Candidates of one data centre; `hashes` has the order of `identities`. */
 interface DataCentreCandidates<P extends LocatedProxy> {
   readonly identities: readonly P[];
   /**
@@ -17,7 +17,7 @@
   readonly hashes: Uint32Array;
 }
 
-/** Candidates by data centre. */
+/** Candidates for `pickResponsible`, keyed by data centre. */
 export type CandidateSet<P extends LocatedProxy = ProxyIdentity> = ReadonlyMap<
   string,
   DataCentreCandidates<P>
@@ -46,7 +46,7 @@
   return set;
 }
 
-/** The candidates of one data centre. */
+/** Returns the candidates of one data centre; empty if there are none. */
 export function onlyFrom(set: CandidateSet, dataCentre: string): CandidateSet {
   const centre = set.get(dataCentre);
   return new Map(centre === undefined ? [] : [[dataCentre, centre]]);
@@ -92,8 +92,9 @@
 
 /**
  * Picks at most `count` proxies for a name. Each round picks the best candidate
- * of each data centre, so that none has a second before all have one. Linear in
- * the number of candidates, which are not sorted as a whole.
+ * of each data centre, so that none has a second before all have one. A round
+ * takes time linear in the number of candidates, which are not sorted as a
+ * whole.
  */
 export function pickResponsible<P extends LocatedProxy>(
   name: string,
@@ -117,8 +118,9 @@
 }
 
 /**
- * True if a proxy is picked for a name. Usually decided within the proxy's own
- * data centre: only the best candidate there can be picked in the first round.
+ * True if a proxy is picked for a name. If `count` is at most the number of
+ * data centres, this is usually decided within the proxy's own one, because
+ * only the best candidate there can be picked.
  */
 export function isPicked(
   name: string,
--- a/packages/membership/src/short_exchange.ts
+++ b/packages/membership/src/short_exchange.ts
@@ -17,14 +17,19 @@
 import type {IdempotentRequest} from './idempotent_request';
 import {memberKey} from './member_table';
 
-/** Dependencies of the short exchange. */
+/**
+ * The timeout applies to each request, so a fallback can take twice as long.
+ */
 export interface ShortExchangeOptions {
   readonly runtime: Runtime;
   readonly ask: IdempotentRequest;
   readonly timeout: Milliseconds;
 }
 
-/** Converts a state to its short form. */
+/**
+ * Replaces the sender's identity by its key and omits `proxies` and an empty
+ * list of leaderships.
+ */
 export function shortenState(state: PeerState): ShortPeerState {
   const {from, leaderships, proxies: unusedProxies, ...rest} = state;
   return {
--- a/packages/membership/src/suspicion.ts
+++ b/packages/membership/src/suspicion.ts
@@ -8,7 +8,7 @@
 import type {GossipTiming} from './gossip_timing';
 import type {MemberEntry, MemberTable} from './member_table';
 
-/** Suspicions of one proxy about others. */
+/** Tracks which proxies did not answer and marks them as suspect or dead. */
 export interface Suspicions {
   /** Reports that a proxy did not answer this one. */
   reportUnanswered(key: string): void;
@@ -18,7 +18,6 @@
   startExpiry(entry: MemberEntry): void;
 }
 
-/** Dependencies of the suspicions. */
 export interface SuspicionOptions {
   readonly runtime: Runtime;
   readonly table: MemberTable;
