--- a/packages/pool/__tests__/fake_target.ts
+++ b/packages/pool/__tests__/fake_target.ts
@@ -42,7 +42,10 @@
   connectionShare: equalShare,
 };
 
-/** Outcome of a statement. */
+/**
+ * Name of a statement's result or error, and the virtual time at which it
+ * ended.
+ */
 export interface Outcome {
   readonly name: string;
   readonly at: number;
--- a/packages/pool/src/admission.ts
+++ b/packages/pool/src/admission.ts
@@ -1,6 +1,7 @@
 /**
  * Admission control for one target: how many requests run concurrently, which
- * queued request starts next, and which are refused.
+ * queued request starts next, and which are refused. Slot time is the time for
+ * which a statement occupies a slot of the target.
  */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
@@ -13,14 +14,17 @@
 import {RetryAfterPolicy, createRefusalMeter} from './retry_after';
 import {createServiceTimes} from './service_times';
 
-/** Policies of admission control. */
+/**
+ * Replaceable rules for the order of the queue, the concurrency limit and the
+ * retry delay of refused requests.
+ */
 export interface AdmissionPolicies {
   readonly queue: QueuePolicy;
   readonly createConcurrencyLimit: CreateConcurrencyLimit;
   readonly retryAfter: RetryAfterPolicy;
 }
 
-/** A request for admission. */
+/** A request that is queued until it starts or is refused. */
 export interface AdmissionEntry extends QueuedRequest {
   /** Groups requests of similar service time. */
   readonly kind: string;
@@ -28,7 +32,7 @@
   refuse(failure: Failure): void;
 }
 
-/** Options of admission control. */
+/** `slots` is the target's total, which all proxies share. */
 export interface AdmissionOptions {
   readonly runtime: Runtime;
   readonly slots: number;
@@ -44,7 +48,7 @@
 /** How a started request ended. */
 export type RunOutcome = LimitSample['outcome'];
 
-/** An admitted request. */
+/** Records when a started request was sent and how it ended. */
 export interface AdmittedRun {
   /**
    * Marks the request as sent now, if it was not sent when it was started. The
@@ -52,11 +56,18 @@
    * queued requests would be refused for a while after startup.
    */
   sent(): void;
-  /** Marks the end. The latency of a `failed` request is no service time. */
+  /**
+   * Marks the end. The latency of a `failed` request does not count as service
+   * time.
+   */
   end(outcome: RunOutcome, failed: boolean): void;
 }
 
-/** Admission control for one target. */
+/**
+ * Queues the requests for one target, starts them within the concurrency limit
+ * and refuses those that would miss their deadline or exceed the queue's
+ * capacity.
+ */
 export interface Admission<E extends AdmissionEntry> {
   /** Expected slot time of requests of this kind. */
   expected(kind: string): Milliseconds;
@@ -112,12 +123,18 @@
   let slotRefusals = 0;
   let pausedUntil = -Infinity;
 
-  /** Requests that may run concurrently besides the leases; at least 1. */
+  /**
+   * Number of requests that may run concurrently besides the leases; at least
+   * 1.
+   */
   function availableConcurrency(): number {
     return Math.max(1, Math.floor(limit.current()) - leases);
   }
 
-  /** Statements that run concurrently: the lower of allowed and measured. */
+  /**
+   * Number of statements that run concurrently: the lower of the allowed and
+   * the measured number.
+   */
   function parallelism(): number {
     const allowed = Math.min(
       availableConcurrency(),
--- a/packages/pool/src/admission_queue.ts
+++ b/packages/pool/src/admission_queue.ts
@@ -8,7 +8,10 @@
 
 import type {QueuePolicy, QueuedRequest} from './queue_policy';
 
-/** Options of an admission queue. */
+/**
+ * The functions return the current load, from which starts are predicted. Slot
+ * time is the time for which a statement occupies a slot of the target.
+ */
 export interface AdmissionQueueOptions<R extends QueuedRequest> {
   readonly timer: TimerService;
   readonly policy: QueuePolicy;
@@ -16,13 +19,13 @@
   readonly capacity: number;
   /** Remaining slot time of the running requests. */
   slotTimeInFlight(): Milliseconds;
-  /** Statements that run concurrently. */
+  /** Number of statements that run concurrently. */
   parallelism(): number;
   /** Called for each request that is refused. */
   onRefused(request: R): void;
 }
 
-/** Queue of the requests for one target. */
+/** Holds queued requests in the order of the policy. */
 export interface AdmissionQueue<R extends QueuedRequest> {
   /** Adds a request. It or others may be refused through `onRefused`. */
   add(request: R): void;
@@ -103,7 +106,9 @@
     return -1;
   }
 
-  /** Refuses each request from `index` on that is predicted to start too late. */
+  /**
+   * Refuses each request from `index` on that is predicted to start too late.
+   */
   function refuseLateRequests(index: number): void {
     const refused: R[] = [];
     let lateIndex = findLateRequest(index);
--- a/packages/pool/src/concurrency_limit.ts
+++ b/packages/pool/src/concurrency_limit.ts
@@ -18,9 +18,9 @@
   readonly now: Milliseconds;
 }
 
-/** A concurrency limit, fixed or adaptive. */
+/** Maximum number of concurrent statements, fixed or adaptive. */
 export interface ConcurrencyLimit {
-  /** At least 1. Only the integer part counts. */
+  /** The current limit; at least 1. Only its integer part counts. */
   current(): number;
   observe(sample: LimitSample): void;
 }
@@ -28,7 +28,10 @@
 /** Creates the limit for a target with the given number of slots. */
 export type CreateConcurrencyLimit = (slots: number) => ConcurrencyLimit;
 
-/** Settings of the adaptive limit. */
+/**
+ * Factors of the adaptive limit, which starts at the number of the target's
+ * slots.
+ */
 export interface AdaptiveLimitSettings {
   /** Maximum limit, in multiples of the target's slots. */
   readonly maximumPerSlot: number;
@@ -38,11 +41,14 @@
   readonly decreaseOnLatency: number;
   /** Tolerated latency, in multiples of the latency at an idle target. */
   readonly latencyTolerance: number;
-  /** Tolerated excess of short latencies, whose ratio is mostly noise. */
+  /**
+   * Excess over the latency at an idle target that is always tolerated, because
+   * the ratio of short latencies is mostly noise.
+   */
   readonly latencySlack: Milliseconds;
 }
 
-/** Default settings. */
+/** Limits a proxy to the target's slots. */
 export const DEFAULT_ADAPTIVE_LIMIT: AdaptiveLimitSettings = {
   maximumPerSlot: 1,
   decreaseOnRefusal: 0.7,
@@ -52,9 +58,10 @@
 };
 
 /**
- * Additive increase while the limit is fully used and the latency is near that
- * of an idle target. Multiplicative decrease on a refusal or a long latency, at
- * most once within the latency of the statement that caused the last decrease.
+ * Increases the limit additively while it is fully used and the latency is near
+ * that of an idle target. Decreases it multiplicatively on a refusal or a long
+ * latency, at most once within the latency of the statement that caused the
+ * last decrease.
  */
 export function createAdaptiveLimit(
   slots: number,
@@ -95,12 +102,12 @@
   return {current: () => limit, observe};
 }
 
-/** A constant limit; for comparison. */
+/** Creates a constant limit, used for comparison. */
 export function createFixedLimit(limit: number): ConcurrencyLimit {
   return {current: () => limit, observe: () => {}};
 }
 
-/** No limit; for comparison. */
+/** Creates a limit that is never reached, used for comparison. */
 export function createNoLimit(): ConcurrencyLimit {
   return createFixedLimit(Infinity);
 }
--- a/packages/pool/src/connection_share.ts
+++ b/packages/pool/src/connection_share.ts
@@ -3,7 +3,9 @@
 
 /** Input for computing a share. */
 export interface ShareInput {
-  /** Number of connections that the target accepts from all proxies in total. */
+  /**
+   * Number of connections that the target accepts from all proxies in total.
+   */
   readonly connectionLimit: number;
   /** Number of live proxies, including this one. */
   readonly liveProxies: number;
@@ -27,16 +29,17 @@
   return Math.min(wanted, Math.floor(connectionLimit / 2));
 }
 
-/** Equal parts of the connections that are not reserved. */
+/** Gives each proxy an equal part of the connections that are not reserved. */
 export const equalShare: ShareRule = input => {
   const usable = input.connectionLimit - controlReserve(input);
   return Math.max(1, Math.floor(usable / Math.max(1, input.liveProxies)));
 };
 
 /**
- * Up to twice the equal share, using connections that other proxies leave
- * unused. Connections beyond the equal share are closed soon after they become
- * idle, and a refusal by the target lowers the share to the open connections.
+ * Allows up to twice the equal share, using connections that other proxies
+ * leave unused. Connections beyond the equal share are closed soon after they
+ * become idle, and a refusal by the target lowers the share to the open
+ * connections.
  */
 export const borrowingShare: ShareRule = input => {
   const usable = Math.max(1, input.connectionLimit - controlReserve(input));
@@ -47,7 +50,7 @@
 export interface ConnectionShare {
   /** Number of connections that may be open now. */
   current(): number;
-  /** Equal share. Idle connections beyond it are closed early. */
+  /** The equal share. Idle connections beyond it are closed early. */
   equal(): number;
   /** Records that the target refused a connection while so many were open. */
   refused(openConnections: number): void;
--- a/packages/pool/src/connection_times.ts
+++ b/packages/pool/src/connection_times.ts
@@ -1,7 +1,6 @@
 /** Time-outs and intervals of the connections to targets. */
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Time-outs and intervals of connections, in milliseconds. */
 export interface ConnectionTimes {
   /** Time-out for opening a connection, and again for its first answer. */
   readonly connectTimeout: Milliseconds;
@@ -15,7 +14,6 @@
   readonly probePeriod: Milliseconds;
 }
 
-/** Default times. */
 export const DEFAULT_CONNECTION_TIMES: ConnectionTimes = {
   connectTimeout: 250,
   probeTimeout: 250,
--- a/packages/pool/src/connections.ts
+++ b/packages/pool/src/connections.ts
@@ -19,7 +19,7 @@
 import type {ConnectionTimes} from './connection_times';
 import {createExponentialBackoff} from './retry';
 
-/** Options of a set of connections. */
+/** All connections lead to one target; `share` limits how many may be open. */
 export interface ConnectionsOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -28,13 +28,18 @@
   readonly address: string;
   readonly share: ConnectionShare;
   readonly times: ConnectionTimes;
-  /** Called when a connection is idle or the backoff after a failure is over. */
+  /**
+   * Called when a connection is idle or the backoff after a failure is over.
+   */
   onReady(): void;
-  /** Called when no connection is open and none could be opened. */
+  /**
+   * Called when opening a connection failed while none is open, unless the
+   * target is at its connection limit.
+   */
   onUnavailable(): void;
 }
 
-/** Connections of this proxy to one target. */
+/** Opens, checks and closes the connections of this proxy to one target. */
 export interface Connections {
   /** Takes the idle connection that was used last. */
   take(): RpcPeer | undefined;
@@ -49,11 +54,14 @@
   /** Sets the number of connections that stay open while idle. */
   keep(minimum: number): void;
   /**
-   * Closes surplus idle connections, probes the others and opens missing ones.
-   * To be called a few times per second.
+   * Closes surplus idle connections, probes idle ones that received no data for
+   * `probePeriod`, and opens missing ones. To be called a few times per second.
    */
   tick(): void;
-  /** True during the backoff after opening the first connection failed. */
+  /**
+   * True if no connection is open, the last attempt to open one did not reach
+   * the target, and the backoff after it has not ended.
+   */
   isUnavailable(): boolean;
   openCount(): number;
   /** Shortest round trip of a check; `undefined` before the first. */
@@ -213,7 +221,10 @@
     }
   }
 
-  /** Suspects don't count as open, so that new connections can replace them. */
+  /**
+   * Connections under this probe don't count as open, so that new ones can
+   * replace them.
+   */
   function probeIdle(): void {
     const suspects = idle.map(({peer}) => peer);
     idle = [];
--- a/packages/pool/src/drain_rate.ts
+++ b/packages/pool/src/drain_rate.ts
@@ -1,7 +1,8 @@
 /**
  * Measures the slot time that a target provides to this proxy per millisecond
- * while requests are queued. The concurrency limit overestimates it when other
- * proxies use the slots and requests are refused because none is free.
+ * while requests are queued; slot time is the time for which a statement
+ * occupies a slot. The concurrency limit overestimates it when other proxies
+ * use the slots and requests are refused because none is free.
  */
 import type {Milliseconds} from '@kelpstep/runtime';
 
--- a/packages/pool/src/pool_types.ts
+++ b/packages/pool/src/pool_types.ts
@@ -10,12 +10,12 @@
 import type {ConnectionTimes} from './connection_times';
 import type {Lease} from './lease';
 
-/** Policies of a pool. */
+/** Rules of admission, and the limit of connections to the target. */
 export interface PoolPolicies extends AdmissionPolicies {
   readonly connectionShare: ShareRule;
 }
 
-/** Options of a pool. */
+/** `liveProxies` is the number of live proxies when the pool is created. */
 export interface TargetPoolOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -36,9 +36,12 @@
   readonly deadline: Milliseconds;
 }
 
-/** Outcome of a request. */
+/** Outcome of a request, and the time that it waited to be sent or refused. */
 export interface Attempt<R> {
-  /** A failure with `sent` false means refused by the pool; nothing was run. */
+  /**
+   * A failure with `sent` false means that the pool refused the request or
+   * could not reach the target; nothing was run.
+   */
   readonly reply: Result<R, RequestFailure>;
   readonly queueTime: Milliseconds;
 }
@@ -59,18 +62,26 @@
   readonly shed: number;
 }
 
-/** A request to a target. */
+/**
+ * A call of a target's method with the attributes that determine its admission.
+ */
 export interface TargetRequest<P, R> {
   readonly work: RequestAttributes;
   readonly method: Method<P, R>;
   readonly parameters: P;
-  /** Time-out for the answer, from sending the request. */
+  /**
+   * Longest time from sending the request to its answer; the deadline can
+   * shorten it.
+   */
   readonly timeout: Milliseconds;
 }
 
 /** Admission and connections of the statements for one target. */
 export interface TargetPool {
-  /** Runs one request. */
+  /**
+   * Queues a request until it can start, and sends it. It is sent again if the
+   * target refuses it for lack of a slot or connection.
+   */
   run<P, R>(request: TargetRequest<P, R>): Future<Attempt<R>>;
   /** Runs one request and, if it succeeds, leases its connection and slot. */
   lease<P, R>(request: TargetRequest<P, R>): Future<LeaseAttempt<R>>;
@@ -83,8 +94,8 @@
   /** Updates the connection limit and the number of live proxies. */
   updateShare(connectionLimit: number, liveProxies: number): void;
   /**
-   * Closes surplus idle connections, probes the others and opens missing ones.
-   * To be called a few times per second.
+   * Closes surplus idle connections, probes idle ones that received no data for
+   * `probePeriod`, and opens missing ones. To be called a few times per second.
    */
   tick(): void;
   load(): PoolLoad;
--- a/packages/pool/src/queue_policy.ts
+++ b/packages/pool/src/queue_policy.ts
@@ -5,7 +5,7 @@
 export interface QueuedRequest {
   /** Relative value of an answer before the deadline. */
   readonly worth: number;
-  /** Expected slot time. */
+  /** Expected time for which the request occupies a slot of the target. */
   readonly expected: Milliseconds;
   /** Monotonic time by which the request must be answered. */
   readonly deadline: Milliseconds;
@@ -18,7 +18,7 @@
   readonly now: Milliseconds;
   /** Slot time of the running requests and of the queued ones ahead. */
   readonly slotTimeAhead: Milliseconds;
-  /** Statements that run concurrently. */
+  /** Number of statements that run concurrently. */
   readonly parallelism: number;
 }
 
@@ -26,12 +26,15 @@
 export interface QueuePolicy {
   /** Negative if `left` is served first. */
   compare(left: QueuedRequest, right: QueuedRequest): number;
-  /** Monotonic time. A request that has not started by then is refused. */
-  latestStart(request: QueuedRequest): Milliseconds;
   /**
-   * Monotonic time. A request predicted to start after its latest start is
+   * Monotonic time by which a request must have started; otherwise it is
    * refused.
    */
+  latestStart(request: QueuedRequest): Milliseconds;
+  /**
+   * Monotonic time at which a request is predicted to start. It is refused if
+   * that is after its latest start.
+   */
   predictStart(load: QueueLoad): Milliseconds;
 }
 
@@ -48,7 +51,10 @@
     now + slotTimeAhead / parallelism,
 };
 
-/** First come, first served, until the deadline; for comparison. */
+/**
+ * Serves requests in the order of arrival and refuses them only after their
+ * deadline; used for comparison.
+ */
 export const FIRST_COME_FIRST_SERVED: QueuePolicy = {
   compare: (left, right) => left.order - right.order,
   latestStart: request => request.deadline,
--- a/packages/pool/src/retry.ts
+++ b/packages/pool/src/retry.ts
@@ -9,7 +9,7 @@
   withdraw(): boolean;
 }
 
-/** Settings of a retry budget. */
+/** Settings of a budget in which each retry takes one token. */
 export interface RetryBudgetSettings {
   /** Tokens added per first attempt. */
   readonly ratio: number;
@@ -19,7 +19,7 @@
   readonly capacity: number;
 }
 
-/** Default settings. */
+/** Allows a retry per five first attempts, and ten per second besides. */
 export const DEFAULT_RETRY_BUDGET: RetryBudgetSettings = {
   ratio: 0.2,
   minimumPerSecond: 10,
--- a/packages/pool/src/retry_after.ts
+++ b/packages/pool/src/retry_after.ts
@@ -30,7 +30,10 @@
   return Math.round(Math.min(MAXIMUM_RETRY_AFTER_MS, retryAfter));
 };
 
-/** Sums the slot time of refused requests, with exponential decay. */
+/**
+ * Sums the slot time of refused requests, the time for which they would have
+ * occupied a slot of the target, with exponential decay.
+ */
 export interface RefusalMeter {
   add(slotTime: Milliseconds, now: Milliseconds): void;
   recent(now: Milliseconds): Milliseconds;
