--- a/packages/protocol/src/caller_messages.ts
+++ b/packages/protocol/src/caller_messages.ts
@@ -25,7 +25,8 @@
   kind: identifierSchema.optional(),
   /**
    * Token of the session's latest answer; the empty string starts a session.
-   * Without a token the request sees everything confirmed before it.
+   * Without a token the answer reflects everything confirmed before the
+   * request.
    */
   token: sessionTokenSchema.optional(),
   /** Wall clock, milliseconds since 1970, after which an answer is useless. */
@@ -40,7 +41,7 @@
   role: z.enum(['primary', 'replica']),
 });
 
-/** Runs a read. */
+/** Runs a read; the answer names the target and bounds the age of the data. */
 export const callerRead = defineMethod(
   'read',
   z.strictObject({
@@ -62,7 +63,9 @@
   }),
 );
 
-/** Runs a write; answered once a majority of the group holds the record. */
+/**
+ * Runs a write. It is answered once a majority of the group holds the record.
+ */
 export const callerWrite = defineMethod(
   'write',
   z.strictObject({
--- a/packages/protocol/src/method.ts
+++ b/packages/protocol/src/method.ts
@@ -17,8 +17,8 @@
   return {name, parameters, result};
 }
 
-/** The parameters of a method. */
+/** Extracts the type of the parameters from a method definition. */
 export type ParametersOf<M> = M extends Method<infer P, unknown> ? P : never;
 
-/** The result of a method. */
+/** Extracts the type of the result from a method definition. */
 export type ResultOf<M> = M extends Method<unknown, infer R> ? R : never;
--- a/packages/protocol/src/peer_messages.ts
+++ b/packages/protocol/src/peer_messages.ts
@@ -63,19 +63,28 @@
   ready: z.boolean(),
   /** Version of the sender's current manifest; 0 if it has none. */
   manifestVersion: z.number().int().nonnegative(),
-  /** Changes of primary since the last exchange with this peer. */
+  /**
+   * Changes of primary that the sender still distributes. Its queue serves all
+   * peers and sends each change a bounded number of times.
+   */
   leaderships: z.array(groupLeadershipSchema),
-  /** A selection of the proxies that the sender considers alive. */
+  /** Sent as an empty list and not read; `updates` describes the proxies. */
   proxies: z.array(proxyIdentitySchema),
   /** The revision of the sender's own state; 0 if absent. */
   revision: z.number().int().nonnegative().optional(),
   /** True once the sender is stopping. */
   leaving: z.boolean().optional(),
-  /** Updates on proxies, including how the sender sees the receiver. */
+  /**
+   * Updates on proxies, including a claim that the receiver is not alive or is
+   * leaving.
+   */
   updates: z.array(peerUpdateSchema).optional(),
   /** Updates on leaving targets. */
   leavingTargets: z.array(leavingTargetSchema).optional(),
-  /** Checksum of all proxies the sender knows, and its age in milliseconds. */
+  /**
+   * Checksum of all proxies that the sender does not consider dead, and the
+   * time in milliseconds since its view last changed.
+   */
   view: z
     .strictObject({
       checksum: checksumSchema,
@@ -108,9 +117,9 @@
 export type ShortPeerState = z.infer<typeof shortPeerStateSchema>;
 
 /**
- * Compact form of `peer.exchange`. Refused with `INVALID_PARAMETERS` by a proxy
- * that does not know the sender, and with `METHOD_NOT_FOUND` by proxies of
- * older versions.
+ * Compact form of `peer.exchange`. It is refused with `INVALID_PARAMETERS` by a
+ * proxy that does not know the sender, and with `METHOD_NOT_FOUND` by proxies
+ * of older versions.
  */
 export const peerShortExchange = defineMethod(
   'peer.short',
--- a/packages/protocol/src/target_messages.ts
+++ b/packages/protocol/src/target_messages.ts
@@ -30,14 +30,14 @@
 });
 export type LoggedConfiguration = z.infer<typeof loggedConfigurationSchema>;
 
-/** Status that a target reports. */
+/** Identity, role, log and limits of a target when it answers. */
 export const targetStatusSchema = z.strictObject({
   /** Member id, as in the manifest. */
   target: z.string(),
   /** Distinguishes processes that have used the same id. */
   incarnation: z.string(),
   role: targetRoleSchema,
-  /** Highest term seen; requests of lower terms are refused. */
+  /** Highest term known to the target; requests of lower terms are refused. */
   term: termSchema,
   /** End of the target's log. */
   end: logPositionSchema,
@@ -45,7 +45,10 @@
   history: termHistorySchema,
   /** Address of the primary that the target replicates from, if any. */
   following: z.string().optional(),
-  /** Milliseconds since the primary was last heard; absent on a primary. */
+  /**
+   * Milliseconds since the primary last answered this target; absent on a
+   * primary.
+   */
   primarySilence: z.number().nonnegative().optional(),
   /**
    * True while a target that started empty has not reached the end that its
@@ -66,7 +69,7 @@
 });
 export type TargetStatus = z.infer<typeof targetStatusSchema>;
 
-/** Requests a target's status. Takes no slot. */
+/** Requests a target's status, which takes no slot. */
 export const targetStatus = defineMethod(
   'target.status',
   z.strictObject({}),
@@ -153,8 +156,8 @@
 
 /**
  * Makes the target refuse requests of terms below `term`, including replication
- * from their primaries. Refused with `TERM_TOO_LOW` unless `term` is higher
- * than every term the target has seen.
+ * from their primaries. The request is refused with `TERM_TOO_LOW` unless
+ * `term` is higher than every term known to the target.
  */
 export const targetFence = defineMethod(
   'target.fence',
@@ -178,10 +181,10 @@
 
 /**
  * Makes the primary of exactly this term write a record with a new
- * configuration. Refused with `CONFIGURATION_CHANGED` if the newest
- * configuration in its log is not the one at `replaces`. The requester ensures
- * that the record at `replaces` and the barrier of the term are confirmed, and
- * that the new configuration changes a single member.
+ * configuration. The request is refused with `CONFIGURATION_CHANGED` if the
+ * newest configuration in its log is not the one at `replaces`. The requester
+ * ensures that the record at `replaces` and the barrier of the term are
+ * confirmed, and that the new configuration changes a single member.
  */
 export const targetReconfigure = defineMethod(
   'target.reconfigure',
