--- a/packages/runtime/src/mailbox.ts
+++ b/packages/runtime/src/mailbox.ts
@@ -14,7 +14,7 @@
   size(): number;
 }
 
-/** Creates an empty mailbox. */
+/** Creates a mailbox whose messages are read in the order of posting. */
 export function createMailbox<M>(): Mailbox<M> {
   const messages: M[] = [];
   const pendingReaders: Array<(message: M) => void> = [];
--- a/packages/runtime/src/retry_backoff.ts
+++ b/packages/runtime/src/retry_backoff.ts
@@ -13,7 +13,10 @@
 /** Keeps the power of two finite after any number of failures. */
 const MAXIMUM_DOUBLINGS = 16;
 
-/** Doubles with each earlier failure up to `longest`; varied by jitter. */
+/**
+ * Returns a pause that doubles with each earlier failure up to `longest`,
+ * varied by jitter.
+ */
 export function retryPause(
   {first, longest}: RetryPauseBounds,
   earlierFailures: number,
--- a/packages/runtime/src/runtime.ts
+++ b/packages/runtime/src/runtime.ts
@@ -12,7 +12,7 @@
   cancel(): void;
 }
 
-/** Called when a task throws. */
+/** Receives the error that a task threw and the name given to `spawn`. */
 export type TaskFailureListener = (error: unknown, name: string) => void;
 
 /** Runs tasks and provides them with time and random numbers. */
@@ -21,11 +21,11 @@
   readonly random: Random;
   /** Starts a task, which runs synchronously up to its first wait. */
   spawn<T>(name: string, task: Task<T>): TaskHandle<T>;
-  /** Cancels all running tasks, as if the process had ended. */
+  /** Cancels all running tasks, which runs their `finally` blocks. */
   shutdown(): void;
 }
 
-/** Dependencies and settings of a runtime. */
+/** The timer and the random numbers are shared by all tasks of the runtime. */
 export interface RuntimeOptions {
   readonly timer: TimerService;
   readonly random: Random;
