--- a/packages/rpc/src/accept_connections.ts
+++ b/packages/rpc/src/accept_connections.ts
@@ -1,7 +1,7 @@
-/** Listening on an address until stopped. */
+/** Listens on an address until stopped. */
 import type {Address, Connection, Transport} from './transport';
 
-/** Where to listen, and what to call. */
+/** Address to listen on, and the listeners for connections and failures. */
 export interface AcceptOptions {
   readonly transport: Transport;
   readonly address: Address;
--- a/packages/rpc/src/peer.ts
+++ b/packages/rpc/src/peer.ts
@@ -29,7 +29,7 @@
 import {HandlerTable, createHandlerTable} from './handlers';
 import {Connection} from './transport';
 
-/** How a request failed. */
+/** Reason why a request has no result. */
 export interface RequestFailure {
   /**
    * `refused`: the remote end answered with an error. `timeout`: there was no
@@ -69,7 +69,7 @@
   pendingRequests(): number;
 }
 
-/** Dependencies of a peer. */
+/** The peer becomes the only listener of its connection. */
 export interface RpcPeerOptions {
   readonly connection: Connection;
   readonly timer: TimerService;
--- a/packages/rpc/src/peer_links.ts
+++ b/packages/rpc/src/peer_links.ts
@@ -29,7 +29,7 @@
   close(): void;
 }
 
-/** Dependencies and settings of peer links. */
+/** The idle time is 30 s by default. */
 export interface PeerLinksOptions {
   readonly transport: Transport;
   readonly timer: TimerService;
@@ -86,7 +86,10 @@
     }
   }
 
-  /** Closes an unresponsive connection; the next request opens a new one. */
+  /**
+   * Closes a connection that has received nothing since a time; the next
+   * request opens a new one.
+   */
   function closeIfUnresponsive(peer: RpcPeer, since: Milliseconds): void {
     if (peer.lastHeardAt() < since) {
       peer.close('silent');
--- a/packages/rpc/src/tcp_transport.ts
+++ b/packages/rpc/src/tcp_transport.ts
@@ -15,7 +15,6 @@
 /** Default of the longest line that is accepted, in bytes. */
 export const DEFAULT_MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** Settings of the TCP transport. */
 export interface TcpTransportOptions {
   /** Connections that receive a longer line are closed. */
   readonly maximumFrameBytes?: number;
--- a/packages/rpc/src/transport.ts
+++ b/packages/rpc/src/transport.ts
@@ -5,7 +5,7 @@
 /** Address of a listening process, `ip:port`. */
 export type Address = string;
 
-/** Why dialling or listening failed. */
+/** Reason why dialling or listening failed. */
 export interface TransportError {
   readonly kind: 'refused' | 'timeout' | 'unreachable' | 'address-in-use';
   readonly message: string;
