--- a/packages/observability/src/audit_trail.ts
+++ b/packages/observability/src/audit_trail.ts
@@ -72,7 +72,9 @@
   list(after: string, limit: number): PlatformReply<AuditPage>;
 }
 
-/** Dependencies and settings of an audit trail. */
+/**
+ * `proxy` and `incarnation` are part of the row keys, which makes them unique.
+ */
 export interface AuditTrailOptions {
   readonly platform: PlatformClient;
   readonly runtime: Runtime;
--- a/packages/observability/src/largest_counts.ts
+++ b/packages/observability/src/largest_counts.ts
@@ -1,16 +1,24 @@
-/** Counts by name. Only the largest are listed, which limits label values. */
+/**
+ * Counts by name. Only the largest are listed, which bounds the number of label
+ * values.
+ */
 
-/** The count of a name, or the sum of all other names. */
+/** The count of a name, or the sum of the counts of all other names. */
 export interface NamedCount {
   /** `undefined` for the sum of the others. */
   readonly name: string | undefined;
   readonly count: number;
 }
 
-/** Counts by name. */
+/**
+ * Counts occurrences of names. All names are kept; only the list is limited.
+ */
 export interface LargestCounts {
   add(name: string): void;
-  /** The largest counts in descending order, then the sum of the others. */
+  /**
+   * The largest counts in descending order, then the sum of the others unless
+   * it is 0.
+   */
   list(): NamedCount[];
 }
 
--- a/packages/observability/src/logger.ts
+++ b/packages/observability/src/logger.ts
@@ -44,7 +44,10 @@
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** True if debug lines are written; allows to skip preparing their fields. */
+  /**
+   * True if debug lines are written; callers can otherwise skip preparing their
+   * fields.
+   */
   isDebugEnabled(): boolean;
   /** Creates a logger for another part. */
   forPart(part: string): Logger;
@@ -53,14 +56,13 @@
 /** Writes a formatted line, passed without a line feed. */
 export type LineWriter = (line: string) => void;
 
-/** Dependencies and settings of a logger. */
 export interface LoggerOptions {
   /** Part of the process, for example `proxy`. */
   readonly part: string;
   /** Proxy id, included in every line. */
   readonly proxy: string;
   readonly timer: TimerService;
-  /** Standard error by default. */
+  /** Receives each line; by default it is written to standard error. */
   readonly writeLine?: LineWriter;
 }
 
@@ -94,7 +96,10 @@
   createDebug.enable(debugVariable || logNamespaces(lowest));
 }
 
-/** Creates the logger of a part. */
+/**
+ * Creates a logger. It writes a line only while the `debug` namespace
+ * `kelpstep:PART:LEVEL` is enabled.
+ */
 export function createLogger(options: LoggerOptions): Logger {
   const {part, proxy, timer} = options;
   const writeLine = options.writeLine ?? writeToStandardError;
--- a/packages/observability/src/request_summary.ts
+++ b/packages/observability/src/request_summary.ts
@@ -42,7 +42,7 @@
     const parsed = lineSchema.safeParse(JSON.parse(line.slice(start)));
     return parsed.success ? [parsed.data] : [];
   } catch {
-    // Not a log line of this project, so no request.
+    // The line is not a log line of this project, so it describes no request.
     return [];
   }
 }
