--- a/packages/table-feed/src/choose_sources.ts
+++ b/packages/table-feed/src/choose_sources.ts
@@ -33,15 +33,25 @@
 /** Time that a starting proxy waits for the distributors of its data centre. */
 const FIRST_UPDATE_TIMEOUT_MS: Milliseconds = 2000;
 /**
- * Wait for the store's distributor rows before other proxies are used instead.
+ * Longest wait for the store's distributor rows before other proxies are used
+ * instead.
  */
 const DISTRIBUTOR_LOOKUP_TIMEOUT_MS: Milliseconds = 250;
-/** After this time the distributor has failed or this proxy is partitioned. */
+/**
+ * Time without fresh updates from a distributor after which it has failed or
+ * this proxy is partitioned.
+ */
 const UNRESPONSIVE_SLOT_TIMEOUT_MS: Milliseconds = 2000;
-/** After this time a slot without fresh updates is reassigned in any case. */
+/**
+ * Time without fresh updates from a distributor after which its slot is
+ * reassigned even if another distributor lists it as a subscriber.
+ */
 const STALE_SLOT_TIMEOUT_MS: Milliseconds = 10_000;
 
-/** Known state of a proxy's sources. */
+/**
+ * Known state of a proxy's sources. Staleness is the largest ratio of a table's
+ * age to its staleness bound.
+ */
 export interface SourceView {
   /**
    * Staleness by the updates from other proxies; `Infinity` without updates.
@@ -61,7 +71,8 @@
   /** True if the address of this proxy is one of the seeds. */
   readonly isSeed: boolean;
   /**
-   * Random number from 0 to 1, redrawn while updates are fresh: spreads load.
+   * Random number from 0 to 1 that spreads load; redrawn while updates are
+   * fresh.
    */
   readonly spread: number;
 }
--- a/packages/table-feed/src/create_table_feed.ts
+++ b/packages/table-feed/src/create_table_feed.ts
@@ -40,7 +40,7 @@
   onRows(rows: TableRows): void;
 }
 
-/** Dependencies and settings of a table feed. */
+/** The feed keeps copies of `tables` and of the distributor table. */
 export interface TableFeedOptions {
   readonly runtime: Runtime;
   readonly store: TableStore;
@@ -58,13 +58,13 @@
   readonly events: TableFeedEvents;
 }
 
-/** Time since the copy of a table was known to be up to date. */
+/** A table, and the time since its copy was known to be up to date. */
 export interface TableAge {
   readonly table: string;
   readonly age: Milliseconds;
 }
 
-/** Copies of the tables, kept up to date. */
+/** Keeps the copies of the tables up to date until `close` is called. */
 export interface TableFeed {
   /**
    * Running proxies, including this one; the same array until they change.
@@ -72,7 +72,8 @@
    */
   live(): readonly PresentProxy[] | undefined;
   /**
-   * Number of running and recently lost proxies; undefined while `live` is.
+   * Number of running and recently lost proxies; undefined while `live` returns
+   * undefined.
    */
   fleetSize(): number | undefined;
   /** All distributors, in the same order on every proxy. */
@@ -91,7 +92,7 @@
 const TICK_PERIOD_MS: Milliseconds = 100;
 /** Longer than for other tables, as no request waits for a distributor row. */
 const DISTRIBUTORS_STALENESS_BOUND_MS: Milliseconds = 12_000;
-/** Batches changes within this time into one reply of the store. */
+/** Delay in which changes are batched into one reply of the store. */
 const CHANGE_BATCHING_DELAY_MS: Milliseconds = 50;
 /**
  * Upper bounds of the backoff: the few distributors retry sooner than others.
@@ -101,14 +102,17 @@
 const FIRST_READ_RETRY_DELAY_MS: Milliseconds = 400;
 const RETRY_JITTER_RATIO = 0.3;
 
-/** Starts a table feed. */
+/**
+ * Starts to read the tables from the store or other proxies, and to serve
+ * subscribers if this proxy has an address for them.
+ */
 export function createTableFeed(options: TableFeedOptions): TableFeed {
   const {runtime, store, self, events, distributorTable} = options;
   const {timer, random} = runtime;
   const startedAt = timer.now();
   let spread = random.fraction();
   let reportedSlot: number | undefined;
-  /** Confirmations by the store's replies to this proxy. */
+  /** Times at which the store's replies to this proxy confirmed its copies. */
   const storeConfirmations = createConfirmations(timer);
 
   const directory = createProxyDirectory({timer, self});
@@ -245,7 +249,9 @@
     reportSlot();
   }
 
-  /** Reads the distributors, from which a proxy can get all other tables. */
+  /**
+   * Reads the distributor rows, which name proxies that serve all other tables.
+   */
   function* readDistributors(): Task<void> {
     while (distributors.version() === undefined) {
       const read = yield* waitFor(store.readTable(distributorTable));
--- a/packages/table-feed/src/distributor_role.ts
+++ b/packages/table-feed/src/distributor_role.ts
@@ -25,7 +25,6 @@
 import {createRecentMaximum} from './recent_maximum';
 import type {TableCopy} from './table_copy';
 
-/** Dependencies of the distributor role. */
 export interface DistributorRoleOptions {
   readonly runtime: Runtime;
   readonly store: TableStore;
@@ -46,7 +45,6 @@
   timeSinceFresh(address: string): Milliseconds;
 }
 
-/** The distributor role of this proxy. */
 export interface DistributorRole {
   /** Slot that this proxy holds; undefined if it is not a distributor. */
   slot(): number | undefined;
@@ -55,8 +53,8 @@
 const CHECK_PERIOD_MS: Milliseconds = 100;
 const PERIOD_JITTER_RATIO = 0.3;
 /**
- * Spreads the claims of a data centre's proxies for a free slot, so that all
- * but the first see that it is taken.
+ * Range over which a data centre's proxies spread their claims for a free slot,
+ * so that all but the first learn in time that it is taken.
  */
 const CLAIM_SPREAD_MS: Milliseconds = 250;
 /** Time within which the copy shows a slot that was just claimed. */
@@ -65,7 +63,10 @@
  * Time within which subscribers of the slot's previous owner subscribe again.
  */
 const TAKEOVER_PERIOD_MS: Milliseconds = 3000;
-/** Batches the subscriptions of proxies that start together into one write. */
+/**
+ * Interval of writes, which batches the subscriptions of proxies that start
+ * together.
+ */
 const WRITE_INTERVAL_MS: Milliseconds = 1000;
 /**
  * Delay after the first write of a row, so that first subscribers are listed
--- a/packages/table-feed/src/distributor_row.ts
+++ b/packages/table-feed/src/distributor_row.ts
@@ -6,7 +6,7 @@
 import type {TableRows} from '@kelpstep/platform';
 import {z} from 'zod';
 
-/** A proxy's own description. */
+/** Name, location and addresses of a proxy, as stated by itself. */
 export const proxyDescriptorSchema = z.object({
   proxy: z.string(),
   dataCentre: z.string(),
@@ -38,7 +38,10 @@
   readonly version: number;
 }
 
-/** With two, one may fail without delaying changes for the subscribers. */
+/**
+ * Number of distributors per data centre. With two, one may fail without
+ * delaying changes for the subscribers.
+ */
 export const SLOTS_PER_DATA_CENTRE = 2;
 
 /** Key of a slot's row, for example `centre-1/0`. */
@@ -90,7 +93,7 @@
   );
 }
 
-/** True if two descriptors are equal. */
+/** True if all fields of two descriptors are equal, not only the names. */
 export function isSameProxy(
   left: PresentProxy,
   right: PresentProxy | undefined,
--- a/packages/table-feed/src/feed_events.ts
+++ b/packages/table-feed/src/feed_events.ts
@@ -2,7 +2,7 @@
 import type {StoreFailure} from '@kelpstep/platform';
 import type {Milliseconds} from '@kelpstep/runtime';
 
-/** Requests to the store for a table started to succeed or to fail. */
+/** A change of whether requests to the store for a table succeed. */
 export interface FeedChange {
   readonly table: string;
   readonly isFollowing: boolean;
--- a/packages/table-feed/src/feed_messages.ts
+++ b/packages/table-feed/src/feed_messages.ts
@@ -11,7 +11,10 @@
 const rowSchema = z
   .object({
     key: z.string(),
-    /** Left out if the row was removed or its value can't be read. */
+    /**
+     * Value of the row; left out if the row was removed or its value can't be
+     * read.
+     */
     value: z.unknown().optional(),
     isRemoved: z.boolean(),
     version: z.number(),
@@ -47,7 +50,7 @@
 });
 
 /**
- * Requests the updates that the sender lacks, and all later ones as
+ * Requests the updates that the subscriber lacks, and all later ones as
  * notifications.
  */
 export const feedSubscribe = defineMethod(
@@ -56,7 +59,7 @@
   feedMessageSchema,
 );
 
-/** Notification to a subscriber with updates. */
+/** Notification that carries updates to a subscriber. */
 export const FEED_UPDATE = 'feed.news';
 /** Heartbeat notification from a subscriber. */
 export const FEED_HEARTBEAT = 'feed.heartbeat';
--- a/packages/table-feed/src/feed_server.ts
+++ b/packages/table-feed/src/feed_server.ts
@@ -22,7 +22,6 @@
 } from './feed_messages';
 import type {TableCopy} from './table_copy';
 
-/** Dependencies of a feed server. */
 export interface FeedServerOptions {
   readonly runtime: Runtime;
   readonly copies: readonly TableCopy[];
@@ -45,7 +44,10 @@
 interface Subscriber {
   readonly peer: RpcPeer;
   readonly proxy: PresentProxy;
-  /** Versions that it has once all sent updates have arrived, by table. */
+  /**
+   * Versions of the subscriber's copies once all sent updates have arrived, by
+   * table.
+   */
   readonly sent: Map<string, number>;
 }
 
--- a/packages/table-feed/src/proxy_directory.ts
+++ b/packages/table-feed/src/proxy_directory.ts
@@ -28,12 +28,12 @@
    */
   live(): readonly PresentProxy[] | undefined;
   /**
-   * Number of running and recently lost proxies; undefined while `live` is.
+   * Number of running and recently lost proxies; undefined while `live` returns
+   * undefined.
    */
   fleetSize(): number | undefined;
 }
 
-/** Dependencies of a proxy directory. */
 export interface ProxyDirectoryOptions {
   readonly timer: TimerService;
   readonly self: PresentProxy;
--- a/packages/table-feed/src/source_subscriptions.ts
+++ b/packages/table-feed/src/source_subscriptions.ts
@@ -11,7 +11,6 @@
 import {type Subscription, startSubscription} from './subscription';
 import type {TableCopy} from './table_copy';
 
-/** Dependencies of the source subscriptions. */
 export interface SourceSubscriptionsOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
--- a/packages/table-feed/src/store_follower.ts
+++ b/packages/table-feed/src/store_follower.ts
@@ -14,7 +14,6 @@
 import type {FeedChange, TableFeedEvents} from './feed_events';
 import type {TableCopy} from './table_copy';
 
-/** Dependencies and settings of a store follower. */
 export interface StoreFollowerOptions {
   readonly runtime: Runtime;
   readonly store: TableStore;
--- a/packages/table-feed/src/subscription.ts
+++ b/packages/table-feed/src/subscription.ts
@@ -34,7 +34,6 @@
 import {createConfirmations} from './freshness';
 import type {TableCopy} from './table_copy';
 
-/** Dependencies of a subscription. */
 export interface SubscriptionOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -53,15 +52,18 @@
   end(): void;
 }
 
-/** Covers the round trips of connecting and of the first reply. */
+/** Time-out for connecting, which covers its round trips. */
 const CONNECT_TIMEOUT_MS: Milliseconds = 400;
+/** Time-out for the first reply, which covers its round trip. */
 const SUBSCRIBE_TIMEOUT_MS: Milliseconds = 1000;
-/** The source sends an update at least every `HEARTBEAT_PERIOD_MS`. */
+/**
+ * Time without a message after which the source counts as unresponsive; it
+ * sends an update at least every `HEARTBEAT_PERIOD_MS`.
+ */
 const UNRESPONSIVE_AFTER_MS: Milliseconds = 1500;
 const RETRY_DELAY_BOUNDS: RetryPauseBounds = {first: 80, longest: 800};
 const NOT_NEEDED = 'not needed';
 
-/** Starts a subscription. */
 export function startSubscription(options: SubscriptionOptions): Subscription {
   const {runtime, transport, copies} = options;
   const {timer, random} = runtime;
--- a/packages/table-feed/src/table_copy.ts
+++ b/packages/table-feed/src/table_copy.ts
@@ -21,17 +21,20 @@
 /** A copy of a table. Its version never decreases. */
 export interface TableCopy extends TableStalenessBound {
   rows(): TableRows;
-  /** Undefined until the first update. */
+  /**
+   * Version of the table that the copy holds; undefined until the first update.
+   */
   version(): number | undefined;
   /** Applies an update; returns false if this copy lacks preceding updates. */
   take(update: TableUpdate): boolean;
   /**
-   * The update that a copy at a version lacks; undefined if it lacks nothing.
+   * The update that a copy at a version lacks: the whole table if the version
+   * is undefined or too old; undefined if nothing is missing or this copy has
+   * no version.
    */
   updateSince(version: number | undefined): TableUpdate | undefined;
 }
 
-/** Table, staleness bound and listener of a copy. */
 export interface TableCopyOptions extends TableStalenessBound {
   /** Called after each full update and each update with rows. */
   onRows(rows: TableRows): void;
@@ -42,7 +45,6 @@
 
 type IncrementalUpdate = TableUpdate & {readonly after: number};
 
-/** Creates an empty copy without a version. */
 export function createTableCopy(options: TableCopyOptions): TableCopy {
   const {table, knownWithin: bound} = options;
   const rows = new Map<string, StoredRow>();
