--- a/packages/membership/src/gossip_state.ts
+++ b/packages/membership/src/gossip_state.ts
@@ -1,6 +1,6 @@
 /**
  * Gossip state of a proxy: builds the states that it sends and merges the
- * states that it receives. Performs no exchanges.
+ * states that it receives, without performing exchanges.
  */
 import type {
   GroupLeadership,
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Claims about the peer, so that it can refute them or learn that it is
-   * leaving.
+   * Returns the updates that call the peer suspect, dead or leaving, so that
+   * the peer can refute them or learn that it is leaving.
    */
   function claimsAbout({address, key}: GossipPeer): PeerUpdate[] {
     const entry = key === undefined ? undefined : table.get(key);
--- a/packages/observability/src/logger.ts
+++ b/packages/observability/src/logger.ts
@@ -49,7 +49,7 @@
    * fields.
    */
   isDebugEnabled(): boolean;
-  /** Creates a logger for another part. */
+  /** Creates a logger for another part with the same proxy id and output. */
   forPart(part: string): Logger;
 }
 
--- a/packages/pool/src/connections.ts
+++ b/packages/pool/src/connections.ts
@@ -85,7 +85,10 @@
     : 'unreachable';
 }
 
-/** Creates an empty set. It opens nothing before `ensureOpen` or `keep`. */
+/**
+ * Creates a set that opens no connection before `ensureOpen` or `keep` is
+ * called.
+ */
 export function createConnections(options: ConnectionsOptions): Connections {
   const {runtime, transport, share, times} = options;
   const {timer, random} = runtime;
--- a/packages/protocol/src/target_messages.ts
+++ b/packages/protocol/src/target_messages.ts
@@ -57,8 +57,8 @@
    */
   catchingUp: z.boolean().optional(),
   /**
-   * The newest configuration in the target's log, in effect from its record
-   * on. Absent if the log is empty or was written by a version that did not
+   * The newest configuration in the target's log, in effect from its record on.
+   * It is absent if the log is empty or was written by a version that did not
    * store configurations.
    */
   configuration: loggedConfigurationSchema.optional(),
--- a/packages/rpc/src/peer.ts
+++ b/packages/rpc/src/peer.ts
@@ -115,7 +115,7 @@
       );
 }
 
-/** Creates a JSON-RPC peer on a connection. */
+/** Creates a JSON-RPC peer, which starts to receive messages at once. */
 export function createRpcPeer(options: RpcPeerOptions): RpcPeer {
   const {connection, timer} = options;
   const handlers = options.handlers ?? createHandlerTable();
--- a/packages/rpc/src/tcp_transport.ts
+++ b/packages/rpc/src/tcp_transport.ts
@@ -85,7 +85,7 @@
   let listener: ConnectionListener | undefined;
   let closeReason: string | undefined;
 
-  // Messages of one turn of the event loop are sent in one packet.
+  // Messages of one turn of the event loop are written to the socket together.
   let outgoing = '';
 
   function flush(): void {
--- a/packages/table-feed/src/choose_sources.ts
+++ b/packages/table-feed/src/choose_sources.ts
@@ -1,6 +1,6 @@
 /**
  * Selects the sources of a proxy's table copies and the free distributor slots.
- * Performs no input or output.
+ * The functions perform no input or output.
  *
  * Load pattern: all proxies start, or lose their distributors or the store, at
  * the same time. Each needs the tables soon, but they must not all send
--- a/packages/table-feed/src/create_table_feed.ts
+++ b/packages/table-feed/src/create_table_feed.ts
@@ -67,8 +67,8 @@
 /** Keeps the copies of the tables up to date until `close` is called. */
 export interface TableFeed {
   /**
-   * Running proxies, including this one; the same array until they change.
-   * Undefined while they aren't known.
+   * Running proxies, including this one; the same array until they change. The
+   * result is undefined while they aren't known.
    */
   live(): readonly PresentProxy[] | undefined;
   /**
--- a/packages/table-feed/src/feed_server.ts
+++ b/packages/table-feed/src/feed_server.ts
@@ -34,7 +34,9 @@
 /** Sends table updates to subscribers. */
 export interface FeedServer {
   accept(connection: Connection): void;
-  /** Sends each subscriber the updates that it lacks. */
+  /**
+   * Sends each subscriber the ages of the copies and the updates that it lacks.
+   */
   publish(): void;
   /** Proxies that subscribe to this one. */
   subscribers(): readonly PresentProxy[];
--- a/packages/table-feed/src/proxy_directory.ts
+++ b/packages/table-feed/src/proxy_directory.ts
@@ -22,9 +22,10 @@
   /** Proxies that are known to be running, including this one. */
   listed(): readonly PresentProxy[];
   /**
-   * Running proxies, including this one; the same array until they change.
-   * Undefined until this proxy is listed, because proxies that start with it
-   * are then listed too, or until the wait for that has timed out.
+   * Running proxies, including this one; the same array until they change. The
+   * result is undefined until this proxy is listed, because proxies that start
+   * with it are then listed too, or until it has waited for that longer than
+   * `LISTING_TIMEOUT_MS` after the first rows.
    */
   live(): readonly PresentProxy[] | undefined;
   /**
