--- a/packages/rpc/src/peer.ts
+++ b/packages/rpc/src/peer.ts
@@ -29,7 +29,7 @@
 import {HandlerTable, createHandlerTable} from './handlers';
 import {Connection} from './transport';
 
-/** How a request failed. */
+/** Reason why a request has no result. */
 export interface RequestFailure {
   /**
    * `refused`: the remote end answered with an error. `timeout`: there was no
@@ -69,7 +69,7 @@
   pendingRequests(): number;
 }
 
-/** Dependencies of a peer. */
+/** The peer becomes the only listener of its connection. */
 export interface RpcPeerOptions {
   readonly connection: Connection;
   readonly timer: TimerService;
@@ -115,7 +115,7 @@
       );
 }
 
-/** Creates a JSON-RPC peer on a connection. */
+/** Creates a JSON-RPC peer, which starts to receive messages at once. */
 export function createRpcPeer(options: RpcPeerOptions): RpcPeer {
   const {connection, timer} = options;
   const handlers = options.handlers ?? createHandlerTable();
--- a/packages/rpc/src/tcp_transport.ts
+++ b/packages/rpc/src/tcp_transport.ts
@@ -15,7 +15,6 @@
 /** Default of the longest line that is accepted, in bytes. */
 export const DEFAULT_MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** Settings of the TCP transport. */
 export interface TcpTransportOptions {
   /** Connections that receive a longer line are closed. */
   readonly maximumFrameBytes?: number;
@@ -86,7 +85,7 @@
   let listener: ConnectionListener | undefined;
   let closeReason: string | undefined;
 
-  // Messages of one turn of the event loop are sent in one packet.
+  // Messages of one turn of the event loop are written to the socket together.
   let outgoing = '';
 
   function flush(): void {
--- a/packages/table-feed/src/feed_server.ts
+++ b/packages/table-feed/src/feed_server.ts
@@ -22,7 +22,6 @@
 } from './feed_messages';
 import type {TableCopy} from './table_copy';
 
-/** Dependencies of a feed server. */
 export interface FeedServerOptions {
   readonly runtime: Runtime;
   readonly copies: readonly TableCopy[];
@@ -35,7 +34,9 @@
 /** Sends table updates to subscribers. */
 export interface FeedServer {
   accept(connection: Connection): void;
-  /** Sends each subscriber the updates that it lacks. */
+  /**
+   * Sends each subscriber the ages of the copies and the updates that it lacks.
+   */
   publish(): void;
   /** Proxies that subscribe to this one. */
   subscribers(): readonly PresentProxy[];
@@ -45,7 +46,10 @@
 interface Subscriber {
   readonly peer: RpcPeer;
   readonly proxy: PresentProxy;
-  /** Versions that it has once all sent updates have arrived, by table. */
+  /**
+   * Versions of the subscriber's copies once all sent updates have arrived, by
+   * table.
+   */
   readonly sent: Map<string, number>;
 }
 
