--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -196,7 +196,7 @@
   function* findInitialManifest(): Task<void> {
     let backoff = MINIMUM_START_BACKOFF_MS;
     while (current === undefined) {
-      const reading = runtime.spawn('read manifest', readFromPlatform());
+      const reading = runtime.spawn('ask platform', readFromPlatform());
       yield* waitAtMost(reading.result, START_TIMEOUT_MS);
       if (current === undefined) {
         yield* requestFromPeers();
@@ -249,7 +249,7 @@
     age: () => runtime.timer.now() - confirmedAt,
     refresh() {
       if (!isRefreshing) {
-        runtime.spawn('refresh manifest', refreshOnce());
+        runtime.spawn('confirm manifest', refreshOnce());
       }
     },
     ready: ready.future,
