--- a/packages/platform/src/circuit_breaker.ts
+++ b/packages/platform/src/circuit_breaker.ts
@@ -12,7 +12,7 @@
   state(): BreakerState;
   /** True if a call may be sent; its result must then be recorded. */
   admit(): boolean;
-  /** Records the result of an admitted call. */
+  /** Records that an admitted call succeeded, which closes the breaker. */
   succeeded(): void;
   failed(): void;
   /** Time until the open period ends; 0 once it has ended. */
@@ -25,9 +25,9 @@
   readonly random: Random;
   /** Consecutive failures that open the breaker. */
   readonly failureThreshold: number;
-  /** First open period; doubles with each failed probe. */
+  /** First open period; it doubles with each failed probe. */
   readonly shortestOpen: Milliseconds;
-  /** Limit of the open period. */
+  /** Maximum open period, before the random variation. */
   readonly longestOpen: Milliseconds;
 }
 
--- a/packages/platform/src/concurrency_limiter.ts
+++ b/packages/platform/src/concurrency_limiter.ts
@@ -16,9 +16,9 @@
 
 /** Bounds of a concurrency limiter. */
 export interface ConcurrencyLimiterOptions {
-  /** Tasks that may hold a slot at a time. */
+  /** Maximum number of tasks that hold a slot at a time. */
   readonly maximumConcurrent: number;
-  /** Tasks that may wait for a slot. */
+  /** Maximum number of tasks that wait for a slot. */
   readonly maximumWaiting: number;
 }
 
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -36,7 +36,7 @@
   timeout: Milliseconds,
 ) => Future<HttpOutcome>;
 
-/** Sends requests over a pool of keep-alive connections. */
+/** An HTTP client that keeps its connections open between requests. */
 export interface HttpExchanger {
   readonly exchange: HttpExchange;
   /** Closes all connections. */
@@ -48,7 +48,9 @@
   readonly timer: TimerService;
   /** Maximum number of connections per address. */
   readonly connections: number;
-  /** The request fails if the response is larger, in bytes. */
+  /**
+   * Maximum size of a response, in bytes; a request with a larger one fails.
+   */
   readonly maximumResponseBytes?: number;
 }
 
@@ -74,7 +76,10 @@
     noDelay: true,
   });
 
-  /** Closes idle connections: they may be as unresponsive as the one that timed out. */
+  /**
+   * Closes the idle connections to an address at which a request timed out,
+   * since they may be as unresponsive.
+   */
   function closeIdleConnections(address: string): void {
     const idle = agent.freeSockets[agent.getName(parseAddress(address))] ?? [];
     [...idle].forEach(socket => socket.destroy());
--- a/packages/platform/src/http_platform_calls.ts
+++ b/packages/platform/src/http_platform_calls.ts
@@ -44,7 +44,10 @@
   parse(body: string): Result<T, string>;
 }
 
-/** A failed call; `mayHaveRun` if the request may have taken effect. */
+/**
+ * Creates the failure of a call without a usable response. Its outcome is
+ * `unknown` if the request may have taken effect, else `not_run`.
+ */
 export function createUnavailableFailure(
   message: string,
   mayHaveRun: boolean,
@@ -92,7 +95,7 @@
   return `/tables/${encodeURIComponent(table)}/rows/${encodeURIComponent(key)}`;
 }
 
-/** The calls of the platform's HTTP API. */
+/** Builders of the requests of the platform's HTTP API, one per operation. */
 export const PLATFORM_CALLS = {
   readRow: (table: string, key: string): PlatformCall<TableRow> => ({
     request: {method: 'GET', path: rowPath(table, key)},
--- a/packages/platform/src/http_platform_client.ts
+++ b/packages/platform/src/http_platform_client.ts
@@ -30,11 +30,17 @@
   readonly timer: TimerService;
   /** Selects the address that is tried first. */
   readonly random: Random;
-  /** Timeout of a request to one address, and of the wait for a free slot. */
+  /**
+   * Timeout of a request to one address, and of the wait for a free slot; 2
+   * seconds by default.
+   */
   readonly requestTimeout?: Milliseconds;
-  /** Maximum number of requests in flight. */
+  /** Maximum number of requests in flight; 8 by default. */
   readonly concurrentRequests?: number;
-  /** Requests that may wait for a free slot; further ones fail at once. */
+  /**
+   * Maximum number of requests that wait for a free slot; further ones fail at
+   * once. The default is 1000.
+   */
   readonly waitingRequests?: number;
   /** Replaces the HTTP transport in tests. */
   readonly exchange?: HttpExchange;
@@ -61,7 +67,10 @@
   return call.idempotent || result.val.outcome === 'not_run';
 }
 
-/** Creates a client of the platform over HTTP. */
+/**
+ * Creates a client of the platform over HTTP. A call is repeated with the next
+ * address if the platform is unavailable and the repetition is safe.
+ */
 export function createHttpPlatformClient(
   options: HttpPlatformClientOptions,
 ): HttpPlatformClient {
@@ -78,7 +87,11 @@
   });
   let preferred = random.integer(0, addresses.length - 1);
 
-  /** Tries the addresses in turn, starting with the last one that responded. */
+  /**
+   * Tries the addresses in turn until one responds or a repetition is not safe.
+   * The first call starts with a random address, later calls start with the
+   * address that is in use.
+   */
   function* tryAddresses<T>(call: PlatformCall<T>): Task<Result<T, Failure>> {
     let result: Result<T, Failure> = Err(
       createUnavailableFailure('No address.', false),
--- a/packages/platform/src/platform_client.ts
+++ b/packages/platform/src/platform_client.ts
@@ -8,7 +8,7 @@
 import type {Future} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** The pending result of a call. */
+/** Settles with the result of a call or with its failure. */
 export type PlatformReply<T> = Future<Result<T, Failure>>;
 
 /**
--- a/packages/platform/src/resilient_platform_client.ts
+++ b/packages/platform/src/resilient_platform_client.ts
@@ -15,13 +15,19 @@
   /** The wrapped client. */
   readonly inner: PlatformClient;
   readonly runtime: Runtime;
-  /** Time after the start of a call in which retries may start. */
+  /**
+   * Time after the start of a call in which retries may start; 3 seconds by
+   * default.
+   */
   readonly retryTime?: Milliseconds;
   readonly shortestBackoff?: Milliseconds;
   readonly longestBackoff?: Milliseconds;
   /** Consecutive failures that open the circuit breaker. */
   readonly failureThreshold?: number;
-  /** First and maximum time between probes while the breaker is open. */
+  /**
+   * Time from the opening of the breaker to its first probe. It doubles with
+   * each failed probe, up to `longestOpen`.
+   */
   readonly shortestOpen?: Milliseconds;
   readonly longestOpen?: Milliseconds;
 }
@@ -32,7 +38,7 @@
   breakerState(): BreakerState;
 }
 
-/** Times are in milliseconds. */
+/** Default options; times are in milliseconds. */
 const DEFAULTS = {
   retryTime: 3000,
   shortestBackoff: 50,
@@ -46,7 +52,10 @@
   return failure.name === 'PLATFORM_UNAVAILABLE';
 }
 
-/** Wraps a platform client. */
+/**
+ * Wraps a platform client with retries and a circuit breaker. While the breaker
+ * is open, calls fail with `PLATFORM_UNAVAILABLE` and a retry delay.
+ */
 export function createResilientPlatformClient(
   options: ResilientPlatformClientOptions,
 ): ResilientPlatformClient {
@@ -55,7 +64,10 @@
   const settings = {...DEFAULTS, ...options};
   const breaker = createCircuitBreaker({timer, random, ...settings});
 
-  /** `mayHaveRun`: an earlier attempt of the same call may have taken effect. */
+  /**
+   * Creates the failure of a call that the breaker refuses. `mayHaveRun`: an
+   * earlier attempt of the same call may have taken effect.
+   */
   function createRefusal(mayHaveRun: boolean): Failure {
     return createFailure('PLATFORM_UNAVAILABLE', {
       message: 'The platform is out; it is tried again later.',
@@ -79,13 +91,17 @@
       return result;
     } finally {
       if (!isReported) {
-        // Cancelled in flight: without a result, a probe would block the breaker.
+        // The call was cancelled in flight. A probe without a recorded result
+        // would block the breaker.
         breaker.failed();
       }
     }
   }
 
-  /** Uses full jitter, which spreads the retries of many callers over the interval. */
+  /**
+   * Chooses a random backoff between the shortest one and a bound that doubles
+   * with each retry, which spreads the retries of many callers.
+   */
   function backoffBefore(retry: number): Milliseconds {
     const {shortestBackoff, longestBackoff} = settings;
     const upperBound = Math.min(longestBackoff, shortestBackoff * 2 ** retry);
@@ -123,8 +139,9 @@
 
   return {
     readRow: (table, key) => run(() => inner.readRow(table, key), true),
-    // Not retried once it may have taken effect: the retry would conflict with the
-    // first attempt. The caller reads the row to learn whether it was written.
+    // A write that may have taken effect is not retried: the retry would
+    // conflict with the first attempt. The caller reads the row to learn
+    // whether it was written.
     writeRow: (table, key, expectedVersion, value) =>
       run(() => inner.writeRow(table, key, expectedVersion, value), false),
     listRows: (table, after, limit) =>
--- a/packages/platform/src/table_store.ts
+++ b/packages/platform/src/table_store.ts
@@ -2,7 +2,7 @@
 import type {Future, Milliseconds} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** A row of a table. */
+/** A row of a table, or the record of its removal. */
 export interface StoredRow {
   readonly key: string;
   /** Undefined if the value can't be decoded or the row was removed. */
@@ -22,7 +22,7 @@
 
 /** Why a call to the store failed. */
 export type StoreFailure =
-  /** Refused or not sent: it had no effect. */
+  /** The call was refused or not sent: it had no effect. */
   | 'refused'
   /** No response: it may have taken effect, or may still take effect. */
   | 'unanswered'
@@ -35,13 +35,19 @@
 export interface TableStore {
   /** Reads all rows of a table. */
   readTable(table: string): Future<Result<TableChanges, StoreFailure>>;
-  /** Waits for changes after a version; settles with no rows once `wait` has passed. */
+  /**
+   * Waits for changes after a table version; settles with no rows if there are
+   * none within `wait`.
+   */
   awaitChanges(
     table: string,
     after: number,
     wait: Milliseconds,
   ): Future<Result<TableChanges, StoreFailure>>;
-  /** Writes a row if it has the expected version (0: none); returns the new version. */
+  /**
+   * Writes a row if it has the expected version (0: the row does not exist);
+   * returns the new version.
+   */
   replaceRow(
     table: string,
     key: string,
--- a/packages/proxy/src/caller_server.ts
+++ b/packages/proxy/src/caller_server.ts
@@ -16,7 +16,7 @@
   readonly timer: TimerService;
 }
 
-/** Starts the server for callers. */
+/** Starts the server for callers; fails with a message if it can't listen. */
 export function startCallerServer(
   options: CallerServerOptions,
 ): Future<Result<HttpServer, string>> {
--- a/packages/proxy/src/create_proxy.ts
+++ b/packages/proxy/src/create_proxy.ts
@@ -1,4 +1,7 @@
-/** Wires the parts of a proxy. Opens no sockets itself. */
+/**
+ * Creates the parts of a proxy and connects them. All sockets are opened by the
+ * transport that the proxy is given.
+ */
 import {
   FailoverTimings,
   createGroupDirectory,
@@ -225,7 +228,10 @@
     membership.spread();
   }
 
-  /** Returns whether the leadership is new, in which case it is forwarded. */
+  /**
+   * Applies a leadership if its term is newer. Returns whether it was, in which
+   * case it is passed on to other proxies.
+   */
   function applyLeadership(leadership: GroupLeadership): boolean {
     const view = groups.find(leadership.group);
     const known = view?.lastLeadership()?.term ?? -1;
--- a/packages/proxy/src/daemon.ts
+++ b/packages/proxy/src/daemon.ts
@@ -23,13 +23,18 @@
 export interface Daemon {
   readonly proxy: Proxy;
   readonly logger: Logger;
-  /** Stops gracefully. Resolves once requests are answered and sockets closed. */
+  /**
+   * Stops gracefully. The promise resolves once requests are answered and
+   * sockets closed.
+   */
   stop(): Promise<void>;
 }
 
 const MAXIMUM_BATCH_SIZE = 50;
 const MAXIMUM_OPERATOR_CONNECTIONS = 100;
-/** Requests of operators contain whole manifests. */
+/**
+ * Maximum size of an operator's request, which may contain a whole manifest.
+ */
 const MAXIMUM_OPERATOR_BODY_BYTES = 4 * 1024 * 1024;
 
 function createSeed(): WideSeed {
@@ -83,7 +88,10 @@
   return {timer, logger, runtime, platform, transport};
 }
 
-/** Starts a daemon. Fails if it can't listen on one of its ports. */
+/**
+ * Starts a daemon. It fails with a message if it can't listen on one of its
+ * ports.
+ */
 export async function startDaemon(
   settings: Settings,
 ): Promise<Result<Daemon, string>> {
--- a/packages/proxy/src/http_body.ts
+++ b/packages/proxy/src/http_body.ts
@@ -5,9 +5,10 @@
 const MAXIMUM_DISCARD_RATIO = 16;
 
 /**
- * Reads a body. Reports `undefined` as soon as the body exceeds the limit. The
- * rest of it is read and discarded up to a bound, because a connection that is
- * closed with unread bytes is reset, and the client might not get the response.
+ * Reads a body. `onBody` is called with `undefined` as soon as the body exceeds
+ * the limit. The rest of it is read and discarded up to a bound, because a
+ * connection that is closed with unread bytes is reset, and the client might
+ * not get the response.
  */
 export function readBody(
   request: IncomingMessage,
@@ -47,7 +48,9 @@
   }
 }
 
-/** Most bodies are a single chunk, which is not copied. */
+/**
+ * Concatenates chunks. A single chunk, the most frequent case, is not copied.
+ */
 function joinChunks(chunks: readonly Buffer[]): Buffer {
   const [only] = chunks;
   return chunks.length === 1 && only !== undefined
--- a/packages/proxy/src/http_server.ts
+++ b/packages/proxy/src/http_server.ts
@@ -52,7 +52,10 @@
   readonly timer: TimerService;
   /** Handles `POST /` and `POST /rpc`. */
   readonly dispatch: JsonRpcDispatcher;
-  /** Decides before the body is read. By default all requests are allowed. */
+  /**
+   * Returns whether a JSON-RPC request is allowed, before its body is read. By
+   * default all requests are allowed.
+   */
   readonly authorize?: (request: IncomingMessage) => boolean;
   readonly plainRoutes?: ReadonlyMap<string, PlainRoute>;
 }
@@ -63,9 +66,12 @@
   /** Number of requests that have not been answered yet. */
   requestsInFlight(): number;
   connections(): number;
-  /** From now on responses carry `connection: close`. */
+  /** Makes all further responses carry `connection: close`. */
   announceClose(): void;
-  /** Stops accepting. Settles once every request in flight is answered. */
+  /**
+   * Stops accepting connections. The future settles once every request in
+   * flight is answered and all connections are closed.
+   */
   close(): Future<undefined>;
 }
 
@@ -73,7 +79,10 @@
 const JSON_TYPE = 'application/json';
 const TEXT_TYPE = 'text/plain; charset=utf-8';
 const MILLISECONDS_PER_SECOND = 1000;
-/** Number of checks by Node.js for late requests within the request timeout. */
+/**
+ * Number of times per request timeout that Node.js checks for requests that
+ * exceed it.
+ */
 const CHECKS_PER_REQUEST_TIMEOUT = 4;
 
 /** Time that unused connections stay open for a first request during close. */
@@ -179,7 +188,7 @@
   server.headersTimeout = limits.requestTimeout;
 }
 
-/** Starts an HTTP server. */
+/** Starts an HTTP server; fails with the error message if it can't listen. */
 export function startHttpServer(
   options: HttpServerOptions,
 ): Future<Result<HttpServer, string>> {
@@ -207,9 +216,9 @@
   });
 
   /**
-   * Closes the server. Node.js ends idle connections here, but neither new ones
-   * nor those with a partial request. Their requests may still be arriving, so
-   * these connections are closed after a delay.
+   * Stops accepting connections. Node.js closes idle connections here, but not
+   * connections on which no request, or only a part of one, has arrived. The
+   * rest may still be arriving, so these connections are closed after a delay.
    */
   function close(): Future<undefined> {
     closing = true;
--- a/packages/proxy/src/json_rpc_dispatcher.ts
+++ b/packages/proxy/src/json_rpc_dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the body of a JSON-RPC request to the body of its response. Independent
- * of sockets, so that tests and other servers can use it.
+ * Maps the body of a JSON-RPC request to the body of its response. It does not
+ * depend on sockets, so that tests and other servers can use it.
  */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Milliseconds, settledFuture} from '@kelpstep/runtime';
@@ -10,17 +10,17 @@
 /** The JSON-RPC id of a request. */
 export type RequestId = string | number;
 
-/** A response as a server sends it. */
+/** The body of a response, and a delay for its `retry-after` header. */
 export interface EncodedResponse {
   readonly body: string;
   /** Time after which refused requests may be sent again. */
   readonly retryAfter?: Milliseconds;
 }
 
-/** Receives the response. Called exactly once. */
+/** Receives the response to a request or batch; called exactly once. */
 export type Respond = (response: EncodedResponse) => void;
 
-/** Handles the body of a request. */
+/** Handles the body of a request or of a batch of requests. */
 export type JsonRpcDispatcher = (body: string, respond: Respond) => void;
 
 /** A response, for logs and metrics. */
@@ -39,9 +39,14 @@
   readonly handlers: HandlerTable;
   /** Maximum number of requests in a batch. */
   readonly maximumBatch: number;
-  /** Called when a handler throws. */
+  /**
+   * Called when a handler throws; the request then fails with `INTERNAL_ERROR`.
+   */
   readonly onHandlerError?: (error: unknown, method: string) => void;
-  /** Called with each response, with id and method if they could be read. */
+  /**
+   * Called with each response, with id and method if they could be read. The
+   * response to a batch of an invalid size is not reported.
+   */
   readonly onResponse?: ResponseListener;
 }
 
@@ -54,8 +59,8 @@
 const JSON_RPC_VERSION = '2.0';
 
 /**
- * Handlers expect the peer that sent a request. Over HTTP no requests can be
- * sent back to it.
+ * Stands for the HTTP client, because handlers expect the peer that sent a
+ * request. Over HTTP no requests can be sent back to it.
  */
 const HTTP_PEER: RpcPeer = {
   remoteAddress: 'http',
@@ -139,7 +144,7 @@
   return left === undefined ? right : Math.max(left, right ?? 0);
 }
 
-/** Creates a dispatcher for a table of handlers. */
+/** Creates a dispatcher that accepts single requests and batches. */
 export function createJsonRpcDispatcher(
   options: JsonRpcDispatcherOptions,
 ): JsonRpcDispatcher {
@@ -155,7 +160,10 @@
     respond(encodeErrorResponse(failure, id));
   }
 
-  /** An error in a handler fails its request, not the process. */
+  /**
+   * Calls a handler. If it throws, the request fails, and the process keeps
+   * running.
+   */
   function dispatchSafely(method: string, parameters: unknown) {
     try {
       return handlers.dispatch(method, parameters, HTTP_PEER);
--- a/packages/proxy/src/operator_handlers.ts
+++ b/packages/proxy/src/operator_handlers.ts
@@ -27,7 +27,7 @@
   proxyStatus,
 } from './operator_methods';
 
-/** Dependencies of the handlers. */
+/** The parts of a proxy that operators query or change. */
 export interface OperatorHandlersOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
@@ -69,7 +69,10 @@
   };
 }
 
-/** Creates the handlers of the methods for operators. */
+/**
+ * Creates the handlers of `manifest.commit`, `manifest.show`, `status` and
+ * `audit.list`. Every commit is recorded in the audit trail, also if it fails.
+ */
 export function createOperatorHandlers(
   options: OperatorHandlersOptions,
 ): HandlerTable {
--- a/packages/proxy/src/operator_methods.ts
+++ b/packages/proxy/src/operator_methods.ts
@@ -50,7 +50,7 @@
   reachable: z.boolean(),
   leaving: z.boolean(),
   end: logPositionSchema,
-  /** Upper bound of the age of its data, in milliseconds. */
+  /** Upper bound of the age of the member's data, in milliseconds. */
   age: z.number().nonnegative().optional(),
 });
 
@@ -64,26 +64,29 @@
   members: z.array(memberStatusSchema),
 });
 
-/** The status of a proxy. */
+/**
+ * Result of `status`: the state of the proxy that answers, and the state of
+ * proxies and groups as far as it knows them.
+ */
 export const proxyStatusSchema = z.strictObject({
   proxy: proxyIdentitySchema,
   /** Why the proxy is not ready; absent if it is ready. */
   unready: z.string().optional(),
   manifest: manifestReferenceSchema,
-  /** Proxies that it considers alive. */
+  /** Proxies that the answering proxy considers alive. */
   proxies: z.array(proxyIdentitySchema),
   groups: z.array(groupStatusSchema),
   requestsInFlight: z.number().int().nonnegative(),
   openTransactions: z.number().int().nonnegative(),
   audit: z.strictObject({
-    /** Entries that are not stored in the platform yet. */
+    /** Number of entries that are not stored in the platform yet. */
     pending: z.number().int().nonnegative(),
     dropped: z.number().int().nonnegative(),
   }),
 });
 export type ProxyStatus = z.infer<typeof proxyStatusSchema>;
 
-/** Returns the status of a proxy. */
+/** Returns the status of the proxy that receives the request. */
 export const proxyStatus = defineMethod(
   'status',
   z.strictObject({}),
--- a/packages/proxy/src/operator_server.ts
+++ b/packages/proxy/src/operator_server.ts
@@ -42,7 +42,10 @@
   return createHash('sha256').update(text).digest();
 }
 
-/** Compares digests, so that the timing reveals neither content nor length. */
+/**
+ * Creates a check of a request's bearer token. It compares digests, so that the
+ * timing reveals neither content nor length of the token.
+ */
 export function createTokenCheck(token: string) {
   const expectedDigest = digest(token);
   return (request: IncomingMessage): boolean => {
--- a/packages/proxy/src/peer_server.ts
+++ b/packages/proxy/src/peer_server.ts
@@ -11,13 +11,13 @@
 import {Future, TimerService, mapFuture} from '@kelpstep/runtime';
 import {Ok, Result} from 'ts-results';
 
-/** An RPC server for peers. */
+/** Listens for connections of peers. */
 export interface PeerServer {
   listen(): Future<Result<undefined, TransportError>>;
   close(): void;
 }
 
-/** Dependencies and address of a peer server. */
+/** Dependencies and listen address of a peer server. */
 export interface PeerServerOptions {
   readonly transport: Transport;
   readonly timer: TimerService;
--- a/packages/proxy/src/proxy_context.ts
+++ b/packages/proxy/src/proxy_context.ts
@@ -11,11 +11,11 @@
 
 import type {ResponseListener} from './json_rpc_dispatcher';
 
-/** Dependencies of a proxy. */
+/** What a proxy needs from the process that runs it. */
 export interface ProxyContext {
   /** Runs all tasks. Shutting it down has the effect of killing the process. */
   readonly runtime: Runtime;
-  /** Connections to targets and peers. */
+  /** Opens connections to targets and peers, and accepts them from peers. */
   readonly transport: Transport;
   readonly platform: PlatformClient;
   readonly logger: Logger;
@@ -30,13 +30,13 @@
 export interface Proxy {
   readonly settings: Settings;
   readonly identity: ProxyIdentity;
-  /** Methods for callers. */
+  /** Handlers of the methods for callers. */
   readonly callerHandlers: HandlerTable;
-  /** Methods for operators. */
+  /** Handlers of the methods for operators. */
   readonly operatorHandlers: HandlerTable;
   /** Records the responses of the callers' server in logs and metrics. */
   readonly onCallerResponse: ResponseListener;
-  /** Listens for peers and starts all tasks. */
+  /** Listens for peers and starts all tasks; fails if it can't listen. */
   start(): Future<Result<undefined, TransportError>>;
   /** Why load balancers should send no requests; undefined if ready. */
   unreadyReason(): string | undefined;
@@ -51,6 +51,6 @@
    * later requests are still answered with `STOPPING`.
    */
   stop(): Future<undefined>;
-  /** Closes all connections. To be called after `stop`. */
+  /** Closes all connections; call it after `stop`. */
   close(): void;
 }
--- a/packages/proxy/src/request_metrics.ts
+++ b/packages/proxy/src/request_metrics.ts
@@ -16,7 +16,8 @@
 ): (end: RequestEnd) => void {
   return end => {
     const {method, outcome, duration, role, retries} = end;
-    // Callers may send any kind; known kinds bound the number of time series.
+    // Callers may send any kind. Kinds that are not known share one label,
+    // which bounds the number of time series.
     const kind =
       end.kind !== undefined && isKind(end.kind) ? end.kind : OTHER_KIND;
     metrics.requestEnded(kind, method, outcome, duration);
@@ -32,7 +33,10 @@
   };
 }
 
-/** Registers the gauges of the load on targets and of open requests. */
+/**
+ * Registers the gauges of the load on targets, of requests in flight and of
+ * open transactions.
+ */
 export function registerLoadGauges(
   registry: MetricsRegistry,
   requests: RequestService,
--- a/packages/proxy/src/response_observer.ts
+++ b/packages/proxy/src/response_observer.ts
@@ -17,7 +17,10 @@
   return String(id ?? '').slice(0, MAXIMUM_LOGGED_ID_LENGTH);
 }
 
-/** Creates the listener for the responses of a server. */
+/**
+ * Creates a listener that logs internal errors, and at level `debug` all
+ * responses.
+ */
 export function createResponseObserver(
   logger: Logger,
   metrics: ProxyMetrics,
