--- a/packages/cli/__tests__/run_command.ts
+++ b/packages/cli/__tests__/run_command.ts
@@ -1,7 +1,7 @@
 /** Runs command lines in tests and captures their output. */
 import {runCommandLine} from '..';
 
-/** Exit code and output of a command. */
+/** Exit code and captured output of a command. */
 export interface CommandRun {
   readonly code: number;
   /** Standard output, one element for each result (as JSON) or line. */
@@ -10,7 +10,9 @@
   readonly errors: readonly string[];
 }
 
-/** Runs a command line in this process. */
+/**
+ * Runs a command line in this process; `parameters` do not include the program.
+ */
 export async function runCommand(
   parameters: readonly string[],
   environment: Readonly<Record<string, string>> = {},
--- a/packages/cli/src/command_line.ts
+++ b/packages/cli/src/command_line.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * Runs a command and returns its exit code. `parameters` leave out the name of
- * the program.
+ * Runs a command and returns its exit code. `parameters` do not include the
+ * name of the program.
  */
 export async function runCommandLine(
   parameters: readonly string[],
--- a/packages/cli/src/commands/account.ts
+++ b/packages/cli/src/commands/account.ts
@@ -7,7 +7,6 @@
 
 const KEY_BYTES = 24;
 
-/** Adds `account`. */
 export function addAccountCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'account <name>',
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -40,7 +40,6 @@
   }
 }
 
-/** Adds `audit`. */
 export function addAuditCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'audit',
--- a/packages/cli/src/commands/call_options.ts
+++ b/packages/cli/src/commands/call_options.ts
@@ -14,7 +14,10 @@
   readonly accountKey: string | undefined;
 }
 
-/** Options of a statement. */
+/**
+ * Options of requests with a statement; `parameter` holds JSON scalars or plain
+ * texts, and `transaction` is an id.
+ */
 export interface StatementOptions {
   readonly text: string;
   readonly parameter: ReadonlyArray<string | number> | undefined;
@@ -57,7 +60,7 @@
     });
 }
 
-/** Adds the options of requests with a statement. */
+/** Adds the options of all requests and those of a statement. */
 export function withStatementOptions<T>(yargs: Argv<T>) {
   return withRequestOptions(yargs)
     .positional('text', {
@@ -78,7 +81,7 @@
     });
 }
 
-/** Parses a parameter as a JSON scalar; other text stands for itself. */
+/** Parses a parameter as a JSON scalar; text that is none is used unchanged. */
 export function parseScalar(text: string): Scalar {
   try {
     const value: unknown = JSON.parse(text);
@@ -90,7 +93,9 @@
   }
 }
 
-/** Builds the statement of a request. */
+/**
+ * Builds the statement of a request from the text and the parsed parameters.
+ */
 export function buildStatement(options: StatementOptions): Statement {
   const {text, parameter = []} = options;
   return {text, parameters: parameter.map(value => parseScalar(String(value)))};
@@ -116,7 +121,7 @@
   };
 }
 
-/** Builds the field with the transaction id, if there is one. */
+/** Returns the field with the transaction id, or no field without an id. */
 export function buildTransactionField(transaction: string | undefined) {
   return transaction === undefined ? {} : {transaction};
 }
--- a/packages/cli/src/commands/call_transaction.ts
+++ b/packages/cli/src/commands/call_transaction.ts
@@ -24,7 +24,10 @@
 
 type RequestFields = ReturnType<typeof buildRequestFields>;
 
-/** `read: TEXT` or `write: TEXT`, optionally followed by a JSON array. */
+/**
+ * Form of a statement argument: `read: TEXT` or `write: TEXT`, optionally
+ * followed by a JSON array of parameters.
+ */
 const STEP_PATTERN = /^(read|write):\s*(.*?)\s*(\[.*\])?$/s;
 const STEP_FORMAT_MESSAGE =
   'Statement must have the form: write: TEXT ["PARAMETER", 1]';
@@ -91,7 +94,6 @@
   }));
 }
 
-/** Adds `call transaction`. */
 export function addTransactionCommand(
   yargs: Argv,
   context: CommandContext,
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -7,7 +7,6 @@
 import {runWalkthrough} from '../demo/demo_walkthrough';
 import {waitForStopSignal} from '../stop_signal';
 
-/** Adds `demo`. */
 export function addDemoCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'demo',
--- a/packages/cli/src/commands/manifest_watch.ts
+++ b/packages/cli/src/commands/manifest_watch.ts
@@ -8,7 +8,9 @@
 import type {HttpClient} from '../http_client';
 import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
-/** Name and manifest version of a proxy, undefined if it does not answer. */
+/**
+ * Name and manifest version of a proxy; both undefined if it does not answer.
+ */
 interface ProxyVersion {
   readonly address: string;
   readonly proxy: string | undefined;
@@ -44,7 +46,6 @@
   };
 }
 
-/** Adds `manifest watch`. */
 export function addWatchCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'watch [addresses..]',
--- a/packages/cli/src/commands/proxy.ts
+++ b/packages/cli/src/commands/proxy.ts
@@ -8,7 +8,6 @@
 import {readSettingsOrReport} from '../operator_client';
 import {waitForStopSignal} from '../stop_signal';
 
-/** Adds `proxy`. */
 export function addProxyCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'proxy',
--- a/packages/cli/src/commands/requests.ts
+++ b/packages/cli/src/commands/requests.ts
@@ -5,7 +5,6 @@
 
 import type {CommandContext} from '../command';
 
-/** Adds `requests`. */
 export function addRequestsCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'requests <log>',
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -5,7 +5,6 @@
 import {CommandContext, reportResult} from '../command';
 import {createOperatorClient, withOperatorOptions} from '../operator_client';
 
-/** Adds `status`. */
 export function addStatusCommand(yargs: Argv, context: CommandContext): Argv {
   return yargs.command(
     'status',
--- a/packages/cli/src/console_output.ts
+++ b/packages/cli/src/console_output.ts
@@ -12,7 +12,7 @@
 
 const INDENTATION = 2;
 
-/** Writes to the process's standard streams. */
+/** Creates an output that writes to the standard streams of the process. */
 export function createConsoleOutput(): ConsoleOutput {
   const line = (text: string) => {
     process.stdout.write(`${text}\n`);
--- a/packages/cli/src/demo/demo_cluster.ts
+++ b/packages/cli/src/demo/demo_cluster.ts
@@ -39,7 +39,7 @@
 
 const MEMBERS = ['handbook-1', 'handbook-2', 'handbook-3'];
 const DATA_CENTRES = ['fukuoka', 'kumamoto', 'kagoshima'];
-/** Addresses of the callers', peers' and operators' ports. */
+/** Number of addresses per proxy: one each for callers, peers and operators. */
 const ADDRESSES_PER_PROXY = 3;
 const SLOTS_PER_MEMBER = 3;
 const CONNECTIONS_PER_MEMBER = 20;
--- a/packages/cli/src/http_client.ts
+++ b/packages/cli/src/http_client.ts
@@ -7,8 +7,9 @@
 /** Sends requests to one port of one proxy. */
 export interface HttpClient {
   /**
-   * Sends a request. A missing or invalid response is a failure of unknown
-   * outcome; a refused connection is one of a request that was not run.
+   * Sends a request. If the response is missing or invalid, the failure has the
+   * outcome `unknown`; if the connection is refused, it has the outcome
+   * `not_run`.
    */
   request<P, R>(
     method: Method<P, R>,
@@ -26,7 +27,7 @@
   readonly timeout: number;
 }
 
-/** Codes of errors before a connection exists: the request was not sent. */
+/** Error codes raised before a connection exists: the request was not sent. */
 const NOT_CONNECTED_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -51,7 +52,7 @@
   return createFailure('OUTCOME_UNKNOWN', {message});
 }
 
-/** Creates a client for one port of one proxy. */
+/** Creates a client that sends each request as an HTTP `POST` to `/rpc`. */
 export function createHttpClient(options: HttpClientOptions): HttpClient {
   const {address, token, timeout} = options;
   const headers: Record<string, string> = {
--- a/packages/cli/src/operator_client.ts
+++ b/packages/cli/src/operator_client.ts
@@ -20,7 +20,7 @@
 const DEFAULT_OPERATOR_ADDRESS = '127.0.0.1:7301';
 const DEFAULT_TIMEOUT_MS = 15_000;
 
-/** Adds the options of operator commands. */
+/** Adds the options that all operator commands have. */
 export function withOperatorOptions<T>(yargs: Argv<T>) {
   return yargs
     .option('operator', {
--- a/packages/manifest/__tests__/commit_manifest.spec.ts
+++ b/packages/manifest/__tests__/commit_manifest.spec.ts
@@ -21,7 +21,7 @@
 
 type CommitResult = Result<AcceptedManifest, CommitFailure>;
 
-/** Returns a manifest that differs for each mark. */
+/** Returns the text of a manifest that differs for each mark. */
 function bodyOf(mark: number): string {
   return SMALL_MANIFEST.replace('worth: 1,', `worth: ${mark + 1},`);
 }
--- a/packages/manifest/src/commit_failure.ts
+++ b/packages/manifest/src/commit_failure.ts
@@ -19,10 +19,13 @@
   readonly current?: EarlierCommit;
 }
 
-/** A step of a commit. */
+/** A task within a commit, which ends the commit if it fails. */
 export type CommitStep<T> = Task<Result<T, CommitFailure>>;
 
-/** The failure of a call, with the outcome of the whole commit. */
+/**
+ * Returns the failure of a commit after a failed call. Its outcome is `unknown`
+ * if the commit may have been accepted, else `not_run`.
+ */
 export function callFailed(
   failure: Failure,
   mayBeAccepted: boolean,
@@ -31,13 +34,19 @@
   return {failure: {...failure, outcome}, findings: []};
 }
 
-/** The text has errors, by itself or as an update of the manifest in force. */
+/**
+ * Returns the failure of a commit whose text has errors, by itself or as an
+ * update of the manifest in force.
+ */
 export function invalidManifest(findings: readonly Finding[]): CommitFailure {
   const details = findings.map(formatFinding);
   return {failure: createFailure('MANIFEST_INVALID', {details}), findings};
 }
 
-/** Another commit created the version; `row` if it has been read. */
+/**
+ * Returns the failure of a commit whose version another commit created; `row`
+ * is the manifest row if it has been read.
+ */
 export function versionConflict(row?: CurrentManifestRow): CommitFailure {
   const current = row === undefined ? undefined : latestCommit(row);
   const inForce =
@@ -50,7 +59,10 @@
   return {failure, findings: [], ...(current === undefined ? {} : {current})};
 }
 
-/** The row no longer records which commit created the version. */
+/**
+ * Returns the failure of a commit if the manifest row no longer records which
+ * commit created the version.
+ */
 export function unknownOutcome(version: number): CommitFailure {
   const message = `Who committed version ${version} is no longer known.`;
   return {failure: createFailure('OUTCOME_UNKNOWN', {message}), findings: []};
--- a/packages/manifest/src/commit_manifest.ts
+++ b/packages/manifest/src/commit_manifest.ts
@@ -38,7 +38,9 @@
   readonly fileName: string;
   /** Version that the commit replaces; 0 for the first commit. */
   readonly expectedVersion: number;
-  /** Unique per commit. A commit can be sent again safely with the same id. */
+  /**
+   * Id, unique per commit. A commit can be sent again safely with the same id.
+   */
   readonly commitId: string;
   readonly committedBy: string;
   /** Time after which the commit returns, even if its outcome is unknown. */
@@ -63,7 +65,8 @@
   if (manifest !== undefined && manifestDigest(object.val) === digest) {
     return Ok(manifest);
   }
-  // Without the previous manifest, overlap of the majorities can't be checked.
+  // Without the previous manifest, it can't be checked that the majorities
+  // overlap.
   const unreadable = locate({
     path: [],
     expected: 'a manifest in force that this release can read',
@@ -95,7 +98,7 @@
     : Ok(manifest);
 }
 
-/** Commits a manifest. Returns it with its version once it is accepted. */
+/** Commits a manifest. Once it is accepted, returns it with its version. */
 export function* commitManifest(
   options: CommitOptions,
 ): CommitStep<AcceptedManifest> {
--- a/packages/manifest/src/manifest_row.ts
+++ b/packages/manifest/src/manifest_row.ts
@@ -21,7 +21,10 @@
   readonly value: ManifestRow | undefined;
 }
 
-/** Reads the manifest row. */
+/**
+ * Reads the manifest row; fails with `INTERNAL_ERROR` if its value has an
+ * unknown form.
+ */
 export function readManifestRow(
   platform: PlatformClient,
 ): Future<Result<CurrentManifestRow, Failure>> {
@@ -81,7 +84,10 @@
   readonly digest: string;
 }
 
-/** Determines the state of a commit on top of its expected version. */
+/**
+ * Determines from the row the state of a commit that is to create the version
+ * after `expectedVersion`.
+ */
 export function resolveCommit(
   row: CurrentManifestRow,
   {expectedVersion, commitId, digest}: CommitAttempt,
--- a/packages/manifest/src/manifest_schema.ts
+++ b/packages/manifest/src/manifest_schema.ts
@@ -1,4 +1,4 @@
-/** Schema of the manifest. Its types are inferred. */
+/** Schemas of the manifest and its parts. The types are inferred from them. */
 import {z} from 'zod';
 
 import {
@@ -31,11 +31,16 @@
   id: nameSchema,
   dataCentre: nameSchema,
   address: addressSchema,
-  /** `leaving`: gets no new requests. A primary is switched over first. */
+  /**
+   * A `leaving` member gets no new requests; a leaving primary is switched over
+   * first.
+   */
   state: memberStateSchema.default('serving'),
-  /** Number of statements that it runs concurrently. */
+  /** Number of statements that the member runs concurrently. */
   slots: wholeNumber(1, 10_000),
-  /** Number of connections that it accepts from all proxies together. */
+  /**
+   * Number of connections that the member accepts from all proxies together.
+   */
   connectionLimit: wholeNumber(1, 100_000),
 });
 export type Member = z.infer<typeof memberSchema>;
@@ -52,7 +57,9 @@
 /** A kind of request, with its relative value and its default deadline. */
 export const requestKindSchema = z.strictObject({
   name: nameSchema,
-  /** Relative value of a timely answer. Orders the queue under overload. */
+  /**
+   * Relative value of a timely answer, which orders the queue under overload.
+   */
   worth: positiveNumber(1_000_000),
   /** Time for an answer if the request sets no deadline, in milliseconds. */
   deadline: milliseconds(1, MAXIMUM_DEADLINE_MS),
@@ -80,7 +87,10 @@
   acceptTime: milliseconds(0, MAXIMUM_DRAIN_TIME_MS).default(5_000),
 });
 
-/** The manifest of a service. */
+/**
+ * The manifest of a service: its data centres, groups, kinds of requests,
+ * accounts and policies.
+ */
 export const manifestSchema = z.strictObject({
   /** Format version of the manifest. */
   format: z.literal(1, {error: 'the format 1'}),
@@ -98,7 +108,7 @@
 
 /** An accepted manifest with its version, commit and digest. */
 export interface AcceptedManifest {
-  /** Increases by one with each accepted commit. */
+  /** Version number, which increases by one with each accepted commit. */
   readonly version: number;
   readonly commitId: string;
   /** SHA-256 of the body, hexadecimal. */
--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -33,7 +33,7 @@
 /** A received manifest that has not been checked yet. */
 export type OfferedManifest = NonNullable<PeerManifestResult['manifest']>;
 
-/** Dependencies and settings of a manifest synchronizer. */
+/** Parts of the proxy that the synchronizer uses, and its settings. */
 export interface ManifestSynchronizerOptions {
   readonly runtime: Runtime;
   readonly platform: PlatformClient;
@@ -63,13 +63,18 @@
    * milliseconds; `Infinity` before the first successful read.
    */
   age(): Milliseconds;
-  /** Reads the platform for a newer manifest, unless a refresh is running. */
+  /**
+   * Reads the manifest row and fetches a newer manifest, unless a refresh is
+   * running.
+   */
   refresh(): void;
   /** Settles with the first manifest in force. */
   readonly ready: Future<AcceptedManifest>;
   /** Registers a listener that is called with each manifest put in force. */
   onChange(listener: (manifest: AcceptedManifest) => void): Unsubscribe;
-  /** Puts a manifest in force if it is valid and newer; true if it did. */
+  /**
+   * Puts a manifest in force if it is valid and newer; returns whether it did.
+   */
   offer(offered: OfferedManifest): boolean;
   /** Notes the version of a peer. A newer one is fetched from that peer. */
   notePeerVersion(version: number, address: string): void;
@@ -81,7 +86,10 @@
 const POLL_JITTER_RATIO = 0.2;
 /** Number of peers queried at startup while the platform is unavailable. */
 const START_PEER_COUNT = 5;
-/** Maximum wait at startup for the platform, then for the peers, per round. */
+/**
+ * Maximum time that a round at startup waits for the platform, and after that
+ * for the peers.
+ */
 const START_TIMEOUT_MS = 1000;
 const MINIMUM_START_BACKOFF_MS = 100;
 const MAXIMUM_START_BACKOFF_MS = 2000;
@@ -220,7 +228,11 @@
     }
   }
 
-  /** A failed fetch is repeated when a peer reports its version again. */
+  /**
+   * Fetches a newer manifest from the peer that reports it, unless too many
+   * fetches are running. A failed fetch is repeated when a peer reports its
+   * version again.
+   */
   function notePeerVersion(peerVersion: number, address: string): void {
     const isWanted =
       peerVersion > version() &&
--- a/packages/manifest/src/manifest_update.ts
+++ b/packages/manifest/src/manifest_update.ts
@@ -3,16 +3,22 @@
  * configuration, majorities are counted over the members in the manifest, and
  * proxies put a new version in force at different times. So majorities of two
  * consecutive versions of a group must overlap; otherwise each could confirm
- * records that the other does not see. Groups whose logs hold configurations
+ * records that the other does not hold. Groups whose logs hold configurations
  * don't need this rule, but the manifest does not show which groups these are.
  */
 import {DataIssue} from './finding';
 import type {Group, Manifest} from './manifest_schema';
 
-/** Maximum number of members of a group added and removed by one version. */
+/**
+ * Maximum number of members that one version adds to a group and removes from
+ * it, counted together.
+ */
 const MAXIMUM_MEMBER_CHANGES = 1;
 
-/** A member with a changed address is a different database. */
+/**
+ * Returns a key per member. It includes the address, as a member with a changed
+ * address is a different database.
+ */
 function memberKeys(group: Group): Set<string> {
   return new Set(group.members.map(({id, address}) => `${id} at ${address}`));
 }
@@ -43,7 +49,10 @@
   ];
 }
 
-/** A group is reduced member by member, and removed with its last member. */
+/**
+ * Reports removed groups that had several members. A group is reduced member by
+ * member, and removed with its last member.
+ */
 function checkRemovedGroups(previous: Manifest, next: Manifest): DataIssue[] {
   const names = new Set(next.groups.map(group => group.name));
   return previous.groups
@@ -55,7 +64,10 @@
     }));
 }
 
-/** A database holds the log of one group and can't join another group. */
+/**
+ * Reports members that were in another group before. A database holds the log
+ * of one group and can't join another group.
+ */
 function checkMovedMembers(previous: Manifest, next: Manifest): DataIssue[] {
   const groupOf = new Map<string, string>();
   for (const group of previous.groups) {
--- a/packages/manifest/src/read_manifest.ts
+++ b/packages/manifest/src/read_manifest.ts
@@ -25,7 +25,7 @@
   return left.line - right.line || left.column - right.column;
 }
 
-/** Reads a manifest. The findings include warnings. */
+/** Reads a manifest. The findings include warnings, also if it is valid. */
 export function inspectManifest(
   text: string,
   fileName: string,
@@ -44,7 +44,7 @@
   };
 }
 
-/** Reads a manifest. Returns every finding of the file if there are errors. */
+/** Reads a manifest. If there are errors, returns every finding of the file. */
 export function readManifest(
   text: string,
   fileName: string,
--- a/packages/manifest/src/replace_manifest_row.ts
+++ b/packages/manifest/src/replace_manifest_row.ts
@@ -27,8 +27,9 @@
 }
 
 /**
- * Reads which commit created the version; undefined while there is none.
- * `allAttemptsFailed`: no earlier attempt can still take effect.
+ * Reads which commit created the version; returns undefined while the version
+ * does not exist. `allAttemptsFailed`: no earlier attempt can still take
+ * effect.
  */
 function* resolveAttempt(
   replacement: RowReplacement,
@@ -57,7 +58,10 @@
   }
 }
 
-/** Replaces the row, and resolves attempts whose outcome is unknown. */
+/**
+ * Replaces the row. If the outcome of an attempt is unknown, the row is read to
+ * determine it.
+ */
 export function* replaceManifestRow(
   replacement: RowReplacement,
 ): CommitStep<undefined> {
--- a/packages/manifest/src/retrying_calls.ts
+++ b/packages/manifest/src/retrying_calls.ts
@@ -10,12 +10,12 @@
 } from '@kelpstep/runtime';
 import {Err, Result} from 'ts-results';
 
-/** Starts a call. */
+/** Starts a call; called once per attempt. */
 export type ServiceCall<T> = () => Future<Result<T, Failure>>;
 
 /** Calls that share a deadline. */
 export interface RetryingCalls {
-  /** Calls once. Fails with `PLATFORM_UNAVAILABLE` at the deadline. */
+  /** Calls once; the call fails with `PLATFORM_UNAVAILABLE` at the deadline. */
   once<T>(call: ServiceCall<T>): Task<Result<T, Failure>>;
   /** Retries an idempotent call while the service is unavailable. */
   retry<T>(call: ServiceCall<T>): Task<Result<T, Failure>>;
--- a/packages/manifest/src/schema_check.ts
+++ b/packages/manifest/src/schema_check.ts
@@ -63,7 +63,10 @@
   }));
 }
 
-/** Several checks of a value may report the same expectation. */
+/**
+ * Removes issues with equal path and expectation, which several checks of a
+ * value may report.
+ */
 function deduplicate(issues: readonly DataIssue[]): DataIssue[] {
   const byText = new Map<string, DataIssue>();
   for (const issue of issues) {
--- a/packages/manifest/src/schema_parts.ts
+++ b/packages/manifest/src/schema_parts.ts
@@ -7,19 +7,19 @@
 /** Maximum duration in a file unless a field has its own: a day. */
 export const MAXIMUM_DURATION_MS = 86_400_000;
 
-/** A whole number from `low` to `high`, both inclusive. */
+/** Schema of a whole number from `low` to `high`, both inclusive. */
 export function wholeNumber(low: number, high: number, unit = '') {
   const suffix = unit === '' ? '' : ` ${unit}`;
   const error = `a whole number from ${low} to ${high}${suffix}`;
   return z.number({error}).int({error}).min(low, {error}).max(high, {error});
 }
 
-/** A duration in whole milliseconds. */
+/** Schema of a duration in whole milliseconds from `low` to `high`. */
 export function milliseconds(low = 0, high = MAXIMUM_DURATION_MS) {
   return wholeNumber(low, high, 'milliseconds');
 }
 
-/** A number above zero, at most `high`. */
+/** Schema of a number above zero, at most `high`. */
 export function positiveNumber(high: number) {
   const error = `a number above 0, at most ${high}`;
   return z.number({error}).positive({error}).max(high, {error});
@@ -27,7 +27,9 @@
 
 const NAME_DESCRIPTION = 'lower-case letters, digits and hyphens, 63 at most';
 
-/** A name in the manifest or the settings. */
+/**
+ * Name of lower-case letters, digits and hyphens, at most 63 characters long.
+ */
 export const nameSchema = z
   .string({error: NAME_DESCRIPTION})
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, {error: NAME_DESCRIPTION});
--- a/packages/manifest/src/settings_schema.ts
+++ b/packages/manifest/src/settings_schema.ts
@@ -1,4 +1,4 @@
-/** Schema of the settings of a proxy. Its types are inferred. */
+/** Schemas of the settings of a proxy. The types are inferred from them. */
 import {Result} from 'ts-results';
 import {z} from 'zod';
 
@@ -23,11 +23,11 @@
 
 /** Addresses on which the proxy listens. */
 export const listenAddressesSchema = z.strictObject({
-  /** Callers, over HTTP. */
+  /** Address for callers, over HTTP. */
   callers: addressSchema,
-  /** Other proxies, JSON-RPC over TCP. */
+  /** Address for other proxies, which send JSON-RPC over TCP. */
   peers: addressSchema,
-  /** Operators, over HTTP: methods, metrics and health checks. */
+  /** Address for operators, over HTTP: methods, metrics and health checks. */
   operators: addressSchema,
 });
 
@@ -60,7 +60,7 @@
   transactionIdleTimeout: milliseconds(100).default(30 * SECOND_MS),
   /** Maximum number of requests per group that wait for a target. */
   queueLength: wholeNumber(1, 1_000_000).default(1000),
-  /** Maximum deadline that a caller may set, counted from now. */
+  /** Maximum time from now to the deadline that a caller sets. */
   longestDeadline: milliseconds(SECOND_MS).default(5 * MINUTE_MS),
   /**
    * Share of a target's connections that all proxies together use for
@@ -94,7 +94,7 @@
   error: LOG_LEVEL_DESCRIPTION,
 });
 
-/** Settings of one proxy. */
+/** Schema of the settings file of one proxy. */
 export const settingsSchema = z.strictObject({
   /** Format version of the settings file. */
   format: z.literal(1, {error: 'the format 1'}),
@@ -119,7 +119,10 @@
 
 const MAXIMUM_SETTINGS_BYTES = 64 * KIBIBYTE;
 
-/** Reads settings. Returns every finding of the file if there are errors. */
+/**
+ * Reads the text of a settings file. If there are errors, returns every finding
+ * of the file.
+ */
 export function readSettings(
   text: string,
   fileName: string,
--- a/packages/manifest/src/yaml_document.ts
+++ b/packages/manifest/src/yaml_document.ts
@@ -77,7 +77,10 @@
     return {line: Math.max(line, 1), column: Math.max(col, 1)};
   }
 
-  /** Collections are located at their key, as that is what readers look for. */
+  /**
+   * Returns the offset of a value in the text, or of its key if `atKey` is set
+   * or the value is a collection, as readers look for the key.
+   */
   function offsetOf(path: DataPath, atKey: boolean): number | undefined {
     const last = path[path.length - 1];
     const parent = parsed.getIn(path.slice(0, -1), true);
@@ -92,7 +95,10 @@
     return isNode(node) ? node.range?.[0] : undefined;
   }
 
-  /** A missing value is located at the start of its nearest parent. */
+  /**
+   * Returns the location of a value, or for a missing value that of its nearest
+   * parent.
+   */
   function locationOf(path: DataPath, atKey = false) {
     for (let length = path.length; length > 0; length--) {
       const offset = offsetOf(path.slice(0, length), atKey);
@@ -159,7 +165,10 @@
   return {locate, locateSyntaxError, aliasFindings};
 }
 
-/** After a fatal error, schema findings would only repeat the parser's. */
+/**
+ * Returns whether the data can't be used after an error, because schema
+ * findings would only repeat the parser's.
+ */
 function isFatal(error: YAMLError): boolean {
   return error.code !== 'DUPLICATE_KEY';
 }
@@ -179,7 +188,8 @@
     ...locator.aliasFindings(),
   ];
   const {locate} = locator;
-  // Aliases can multiply the size of the data, so it isn't expanded.
+  // Aliases can multiply the size of the data, so data with aliases isn't
+  // expanded.
   if (errors.some(isFatal) || findings.length > errors.length) {
     return {value: undefined, raw: undefined, findings, locate};
   }
@@ -211,12 +221,12 @@
   try {
     return readParsed(text, file, schema, options);
   } catch (error) {
-    // The parser is recursive: very deep nesting overflows its stack.
+    // The parser is recursive, so that very deep nesting overflows its stack.
     return reject('YAML that can be read', String(error));
   }
 }
 
-/** Reads a file. Returns every finding of the file if there are errors. */
+/** Reads a file. If there are errors, returns every finding of the file. */
 export function readYamlDocument<T>(
   text: string,
   file: string,
--- a/scripts/bundle.ts
+++ b/scripts/bundle.ts
@@ -1,7 +1,10 @@
 /** Bundles a program into one CommonJS file that Node.js runs directly. */
 import {type BuildOptions, build} from 'esbuild';
 
-/** yargs finds its locales relative to `import.meta.url`, which CommonJS lacks. */
+/**
+ * Name of the variable that replaces `import.meta.url`, which CommonJS lacks.
+ * yargs finds its locales relative to it.
+ */
 const IMPORT_META_URL = 'importMetaUrl';
 const BANNER = `const ${IMPORT_META_URL} = require('node:url').pathToFileURL(process.execPath).href;`;
 
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -11,7 +11,7 @@
 export interface RunFailures {
   /** Failed tests that KNOWN-RED.txt lists. */
   readonly knownRed: readonly string[];
-  /** Failed tests that it does not list. */
+  /** Failed tests that KNOWN-RED.txt does not list. */
   readonly unexpected: readonly string[];
 }
 
--- a/scripts/platform_snapshot.ts
+++ b/scripts/platform_snapshot.ts
@@ -11,13 +11,13 @@
 import {excludedModulesPlugin, lazyModulesPlugin} from './module_plugins';
 
 /**
- * Without this limit, errors have no stack while a snapshot is built, and
- * libraries read the stack of an error.
+ * Code at the start of the bundle. Without this limit, errors have no stack
+ * while a snapshot is built, and libraries read the stack of an error.
  */
 const BANNER = 'Error.stackTraceLimit ??= 10;';
 /**
- * Excluded because it opens standard output; it colours log lines, which are
- * JSON here.
+ * Modules left out of the bundle. `supports-color` would open standard output;
+ * it serves to colour log lines, which are JSON here.
  */
 const EXTERNAL_MODULES = ['supports-color'];
 
