--- a/packages/cli/src/demo/demo_cluster.ts
+++ b/packages/cli/src/demo/demo_cluster.ts
@@ -120,7 +120,10 @@
   return daemon.val;
 }
 
-/** Commits the manifest at the first proxy and waits until all run it. */
+/**
+ * Commits the manifest at the first proxy and waits until it is in force on
+ * all.
+ */
 async function commitManifest(
   body: string,
   proxies: readonly DemoProxy[],
--- a/packages/cli/src/demo/demo_walkthrough.ts
+++ b/packages/cli/src/demo/demo_walkthrough.ts
@@ -13,7 +13,9 @@
 const LIST_KEY = 'acknowledged';
 const MAXIMUM_AGE_MS = 10_000;
 
-/** Repeats a failed request until it succeeds; throws after the last attempt. */
+/**
+ * Repeats a failed request until it succeeds; throws after the last attempt.
+ */
 async function requestWithRetries<T>(
   send: () => Promise<Result<T, Failure>>,
 ): Promise<T> {
--- a/packages/manifest/src/manifest_schema.ts
+++ b/packages/manifest/src/manifest_schema.ts
@@ -79,7 +79,7 @@
   ),
 });
 
-/** How members and proxies are stopped gracefully. */
+/** Policy for the graceful stop of members and proxies. */
 export const stopPolicySchema = z.strictObject({
   /** Time that open transactions have to end, in milliseconds. */
   drainTime: milliseconds(0, MAXIMUM_DRAIN_TIME_MS).default(10_000),
@@ -101,7 +101,7 @@
   /** If present, every request needs the key of a client account. */
   accounts: z.array(accountSchema).optional(),
   stop: stopPolicySchema.default({drainTime: 10_000, acceptTime: 5_000}),
-  /** How long targets keep idempotency keys, in milliseconds. */
+  /** Time that targets keep idempotency keys, in milliseconds. */
   keyRetention: milliseconds(1, MAXIMUM_KEY_RETENTION_MS).default(86_400_000),
 });
 export type Manifest = z.infer<typeof manifestSchema>;
--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -27,7 +27,10 @@
 import type {AcceptedManifest} from './manifest_schema';
 import {inspectManifest, manifestDigest} from './read_manifest';
 
-/** The result of `peer.manifest`. */
+/**
+ * Result of `peer.manifest`; it has no manifest if the peer knows none above
+ * the requested version.
+ */
 export type PeerManifestResult = ResultOf<typeof peerManifest>;
 
 /** A received manifest that has not been checked yet. */
--- a/packages/manifest/src/settings_schema.ts
+++ b/packages/manifest/src/settings_schema.ts
@@ -69,7 +69,9 @@
   targetConnectionShare: positiveNumber(1).default(0.9),
 });
 
-/** Intervals and timeouts of the periodic tasks of the proxy. */
+/**
+ * Intervals and timeouts of the periodic tasks of the proxy, in milliseconds.
+ */
 export const intervalsSchema = z.strictObject({
   /** Minimum time between heartbeats to the same peers. */
   peerExchange: milliseconds(20, MINUTE_MS).default(200),
--- a/packages/platform/__tests__/http_platform_client.spec.ts
+++ b/packages/platform/__tests__/http_platform_client.spec.ts
@@ -22,7 +22,10 @@
   return {kind: 'answer', status, body: JSON.stringify(body)};
 }
 
-/** A client with scripted outcomes, and the addresses that it sent requests to. */
+/**
+ * Creates a client whose requests have the given outcomes, and records the
+ * addresses to which it sends them.
+ */
 function createScriptedClient(outcomes: HttpOutcome[]) {
   const asked: string[] = [];
   const client = createHttpPlatformClient({
@@ -111,7 +114,8 @@
 
   test('sends requests over HTTP and times out', async () => {
     const seen: string[] = [];
-    // Virtual time advances only here, so that a slow machine causes no timeout.
+    // Virtual time advances only here, so that a slow machine causes no
+    // timeout.
     const timer = createVirtualTimer();
     const [server, address] = await listen((request, response) => {
       seen.push(`${request.method} ${request.url}`);
--- a/packages/platform/__tests__/resilient_platform_client.spec.ts
+++ b/packages/platform/__tests__/resilient_platform_client.spec.ts
@@ -15,7 +15,10 @@
 
 const LATENCY_MS = 10;
 
-/** A client of a platform that counts calls and fails while `state.out` is set. */
+/**
+ * Creates a platform client that counts its calls, which fail while `state.out`
+ * is set.
+ */
 function createUnavailablePlatform(outcome: Outcome = 'unknown') {
   const timer = createVirtualTimer();
   const runtime = createRuntime({timer, random: createRandom(7)});
--- a/packages/platform/src/circuit_breaker.ts
+++ b/packages/platform/src/circuit_breaker.ts
@@ -2,8 +2,8 @@
 import type {Milliseconds, Random, TimerService} from '@kelpstep/runtime';
 
 /**
- * `closed`: calls are admitted. `open`: calls are refused. `probing`: one call is
- * in flight to test whether the service has recovered.
+ * `closed`: calls are admitted. `open`: calls are refused. `probing`: one call
+ * is in flight to test whether the service has recovered.
  */
 export type BreakerState = 'closed' | 'open' | 'probing';
 
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -29,7 +29,9 @@
       readonly message: string;
     };
 
-/** Sends a request to `ip:port`; settles within the timeout, in milliseconds. */
+/**
+ * Sends a request to `ip:port`; settles within the timeout, in milliseconds.
+ */
 export type HttpExchange = (
   address: string,
   request: HttpRequest,
@@ -43,7 +45,7 @@
   close(): void;
 }
 
-/** Options of an exchanger. */
+/** Limits of an exchanger, and the timer for its timeouts. */
 export interface HttpExchangerOptions {
   readonly timer: TimerService;
   /** Maximum number of connections per address. */
--- a/packages/platform/src/http_platform_calls.ts
+++ b/packages/platform/src/http_platform_calls.ts
@@ -56,7 +56,9 @@
   return createFailure('PLATFORM_UNAVAILABLE', {message, outcome});
 }
 
-/** True for 4xx: the request was rejected and had no effect. */
+/**
+ * Returns whether a status is 4xx: the request was rejected and had no effect.
+ */
 function isClientError(status: number): boolean {
   return status >= HTTP_BAD_REQUEST && status < HTTP_SERVER_ERROR;
 }
--- a/packages/platform/src/http_platform_client.ts
+++ b/packages/platform/src/http_platform_client.ts
@@ -23,7 +23,7 @@
 } from './http_platform_calls';
 import type {PlatformClient} from './platform_client';
 
-/** Options of an HTTP platform client. */
+/** Addresses, limits and dependencies of an HTTP platform client. */
 export interface HttpPlatformClientOptions {
   /** `ip:port` of the platform's endpoints, tried in turn. */
   readonly addresses: readonly string[];
@@ -56,7 +56,7 @@
 const DEFAULT_CONCURRENT_REQUEST_COUNT = 8;
 const DEFAULT_WAITING_REQUEST_COUNT = 1000;
 
-/** True if the call failed and may be repeated with another address. */
+/** Returns whether the call failed and may be repeated with another address. */
 function shouldTryNextAddress<T>(
   call: PlatformCall<T>,
   result: Result<T, Failure>,
--- a/packages/platform/src/platform_client.ts
+++ b/packages/platform/src/platform_client.ts
@@ -28,7 +28,9 @@
     expectedVersion: number,
     value: unknown,
   ): PlatformReply<number>;
-  /** Lists at most `limit` rows with keys greater than `after`, ordered by key. */
+  /**
+   * Lists at most `limit` rows with keys greater than `after`, ordered by key.
+   */
   listRows(
     table: string,
     after: string,
--- a/packages/platform/src/resilient_platform_client.ts
+++ b/packages/platform/src/resilient_platform_client.ts
@@ -1,7 +1,8 @@
 /**
- * Wraps a platform client with retries and a circuit breaker. Calls that are safe
- * to repeat are retried with exponential backoff and jitter until a deadline; the
- * circuit breaker bounds the number of calls during a long outage.
+ * Wraps a platform client with retries and a circuit breaker. Calls that are
+ * safe to repeat are retried with exponential backoff and jitter until a
+ * deadline; the circuit breaker bounds the number of calls during a long
+ * outage.
  */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {Milliseconds, Runtime, Task, sleep, waitFor} from '@kelpstep/runtime';
@@ -10,7 +11,9 @@
 import {BreakerState, createCircuitBreaker} from './circuit_breaker';
 import type {PlatformClient, PlatformReply} from './platform_client';
 
-/** Options of a resilient client. */
+/**
+ * The client to wrap, and the limits of its retries and its circuit breaker.
+ */
 export interface ResilientPlatformClientOptions {
   /** The wrapped client. */
   readonly inner: PlatformClient;
@@ -32,7 +35,7 @@
   readonly longestOpen?: Milliseconds;
 }
 
-/** A platform client with retries. */
+/** A platform client with retries and a circuit breaker. */
 export interface ResilientPlatformClient extends PlatformClient {
   /** State of the circuit breaker, for metrics. */
   breakerState(): BreakerState;
--- a/packages/platform/src/table_store.ts
+++ b/packages/platform/src/table_store.ts
@@ -31,7 +31,7 @@
   /** The row does not have the expected version. */
   | 'conflict';
 
-/** A table store with a change feed. */
+/** A store whose tables can be read whole, followed, and changed row by row. */
 export interface TableStore {
   /** Reads all rows of a table. */
   readTable(table: string): Future<Result<TableChanges, StoreFailure>>;
--- a/packages/proxy/src/http_server.ts
+++ b/packages/proxy/src/http_server.ts
@@ -45,7 +45,7 @@
 /** Handles `GET` requests of a path. */
 export type PlainRoute = () => PlainResponse;
 
-/** Options of an HTTP server. */
+/** Address, limits and request handlers of an HTTP server. */
 export interface HttpServerOptions {
   readonly address: Address;
   readonly limits: HttpLimits;
--- a/packages/proxy/src/json_rpc_dispatcher.ts
+++ b/packages/proxy/src/json_rpc_dispatcher.ts
@@ -34,7 +34,7 @@
 /** Called with each response when it is sent. */
 export type ResponseListener = (event: ResponseEvent) => void;
 
-/** Options of a dispatcher. */
+/** Handlers of a dispatcher, its batch limit and its listeners. */
 export interface JsonRpcDispatcherOptions {
   readonly handlers: HandlerTable;
   /** Maximum number of requests in a batch. */
--- a/packages/proxy/src/operator_methods.ts
+++ b/packages/proxy/src/operator_methods.ts
@@ -96,7 +96,7 @@
 /** Maximum number of rows of the audit table in one page. */
 export const LARGEST_AUDIT_PAGE = 100;
 
-/** Reads the audit trail, oldest first. */
+/** Reads a page of the audit trail, oldest entries first. */
 export const auditList = defineMethod(
   'audit.list',
   z.strictObject({
--- a/packages/proxy/src/operator_server.ts
+++ b/packages/proxy/src/operator_server.ts
@@ -17,7 +17,7 @@
 } from './http_server';
 import {createJsonRpcDispatcher} from './json_rpc_dispatcher';
 
-/** Options of the operators' server. */
+/** Handlers, token and sources of the operators' server. */
 export interface OperatorServerOptions {
   readonly address: Address;
   readonly limits: HttpLimits;
@@ -86,7 +86,7 @@
   ]);
 }
 
-/** Starts the server for operators. */
+/** Starts the server for operators; fails with a message if it can't listen. */
 export function startOperatorServer(
   options: OperatorServerOptions,
 ): Future<Result<HttpServer, string>> {
--- a/packages/proxy/src/responsibilities.ts
+++ b/packages/proxy/src/responsibilities.ts
@@ -6,7 +6,7 @@
 /** Number of proxies per data centre that poll the platform for the others. */
 const POLLERS_PER_DATA_CENTRE = 2;
 
-/** The shared tasks of this proxy. */
+/** The shared tasks that this proxy performs. */
 export interface Responsibilities {
   /**
    * Rank among the failure detectors of a group, counted from 0; undefined if
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -16,9 +16,8 @@
 }
 
 /**
- * Returns the names of the tests listed in `text`: one entry per line, with
- * the name in double quotes. Empty lines and lines that begin with # don't
- * count.
+ * Returns the names of the tests listed in `text`: one entry per line, with the
+ * name in double quotes. Empty lines and lines that begin with # are ignored.
  */
 export function readKnownRed(text: string): string[] {
   const lines = text
--- a/scripts/module_plugins.ts
+++ b/scripts/module_plugins.ts
@@ -3,7 +3,9 @@
 import type {Plugin} from 'esbuild';
 
 const LAZY_NAMESPACE = 'lazy-module';
-/** Modules that hold handles of their process, which no snapshot can contain. */
+/**
+ * Modules that hold handles of their process, which no snapshot can contain.
+ */
 const LAZY_MODULES = /^(node:)?(crypto|http|tty|zlib)$/;
 const requireModule = createRequire(__filename);
 
