--- a/packages/cli/src/commands/call.ts
+++ b/packages/cli/src/commands/call.ts
@@ -21,7 +21,10 @@
 /** Response time allowed for a request without a deadline. */
 const DEFAULT_RESPONSE_TIMEOUT_MS = 60_000;
 
-/** Creates a client for the callers' port that the options name. */
+/**
+ * Creates a client for the callers' port that the options name. It waits for a
+ * response somewhat longer than the deadline.
+ */
 export function createCallerClient({proxy, deadline}: RequestOptions) {
   return createHttpClient({
     address: proxy,
@@ -29,7 +32,11 @@
   });
 }
 
-/** Adds the key to a response, so that the user can repeat the command. */
+/**
+ * Adds the key, in the form of the `--key` option, to the result of a
+ * successful request, so that the user can repeat the command. A failure is
+ * returned unchanged.
+ */
 function withKey<T extends object>(
   reply: Result<T, Failure>,
   key: IdempotencyKey | undefined,
--- a/packages/manifest/__tests__/commit_manifest.spec.ts
+++ b/packages/manifest/__tests__/commit_manifest.spec.ts
@@ -74,7 +74,10 @@
   return {timer, runtime, platform, begin, commit, winners};
 }
 
-/** Returns a fault of the n-th call with a name. All others succeed. */
+/**
+ * Returns a function that gives the n-th call with a name a fault. All other
+ * calls succeed.
+ */
 function faultAt(call: string, number: number, fault: Fault) {
   let seen = 0;
   return (made: string): Fault =>
--- a/packages/manifest/src/commit_manifest.ts
+++ b/packages/manifest/src/commit_manifest.ts
@@ -75,7 +75,10 @@
   return Err(invalidManifest([...findings, unreadable]));
 }
 
-/** Checks the text by itself and as an update of the manifest in force. */
+/**
+ * Checks the text by itself and, if `row` names a manifest in force, as an
+ * update of it.
+ */
 function* checkCommit(
   {platform, body, fileName}: CommitOptions,
   calls: RetryingCalls,
--- a/packages/manifest/src/retrying_calls.ts
+++ b/packages/manifest/src/retrying_calls.ts
@@ -17,7 +17,10 @@
 export interface RetryingCalls {
   /** Calls once; the call fails with `PLATFORM_UNAVAILABLE` at the deadline. */
   once<T>(call: ServiceCall<T>): Task<Result<T, Failure>>;
-  /** Retries an idempotent call while the service is unavailable. */
+  /**
+   * Repeats an idempotent call while the service is unavailable, until the
+   * deadline.
+   */
   retry<T>(call: ServiceCall<T>): Task<Result<T, Failure>>;
   /** Waits before the next try. Returns false if the deadline is too close. */
   backOff(): Task<boolean>;
@@ -26,7 +29,10 @@
 const RETRY_BACKOFF_MS = 200;
 const RETRY_JITTER_RATIO = 0.5;
 
-/** Creates retrying calls with a deadline on the monotonic clock. */
+/**
+ * Creates retrying calls; `deadline` is a time of the runtime's monotonic
+ * clock.
+ */
 export function createRetryingCalls(
   runtime: Runtime,
   deadline: Milliseconds,
--- a/packages/manifest/src/settings_schema.ts
+++ b/packages/manifest/src/settings_schema.ts
@@ -54,17 +54,24 @@
   callerIdleTimeout: milliseconds(SECOND_MS).default(MINUTE_MS),
   /** Maximum time from the first byte of a request to its last. */
   requestReadTimeout: milliseconds(100, MINUTE_MS).default(10 * SECOND_MS),
-  /** Time after which an idle connection to a target is closed. */
+  /**
+   * Time after which an idle connection to a target is closed. The value is
+   * accepted, but not applied yet.
+   */
   targetIdleTimeout: milliseconds(SECOND_MS).default(MINUTE_MS),
   /** Time without a statement after which a transaction is rolled back. */
   transactionIdleTimeout: milliseconds(100).default(30 * SECOND_MS),
-  /** Maximum number of requests per group that wait for a target. */
+  /**
+   * Maximum number of requests per group that wait for a target. The value is
+   * accepted, but not applied yet.
+   */
   queueLength: wholeNumber(1, 1_000_000).default(1000),
   /** Maximum time from now to the deadline that a caller sets. */
   longestDeadline: milliseconds(SECOND_MS).default(5 * MINUTE_MS),
   /**
-   * Share of a target's connections that all proxies together use for
-   * requests. The rest is reserved for control connections.
+   * Share of a target's connections that all proxies together use for requests.
+   * The rest is reserved for control connections. The value is accepted, but
+   * not applied yet.
    */
   targetConnectionShare: positiveNumber(1).default(0.9),
 });
@@ -73,7 +80,10 @@
  * Intervals and timeouts of the periodic tasks of the proxy, in milliseconds.
  */
 export const intervalsSchema = z.strictObject({
-  /** Minimum time between heartbeats to the same peers. */
+  /**
+   * Base interval of the heartbeats to peers. The interval in use lengthens
+   * with the number of proxies, up to a bound.
+   */
   peerExchange: milliseconds(20, MINUTE_MS).default(200),
   /** Timeout of a peer's answer to a heartbeat. */
   peerExchangeTimeout: milliseconds(10, MINUTE_MS).default(300),
@@ -85,7 +95,10 @@
   manifestPoll: milliseconds(50, MINUTE_MS).default(500),
   /** Interval of reads of the instance list, on the proxies that poll it. */
   instancesPoll: milliseconds(50, MINUTE_MS).default(1000),
-  /** Interval of writes of audit entries and leaderships to the platform. */
+  /**
+   * Interval of writes of audit entries and leaderships to the platform. The
+   * value is accepted, but not applied yet.
+   */
   auditFlush: milliseconds(50, MINUTE_MS).default(SECOND_MS),
 });
 
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -62,9 +62,8 @@
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
 
 /**
- * Creates an exchanger with keep-alive connections. It uses the HTTP client of
- * Node.js, which is part of the start-up snapshot; a library would have to be
- * loaded at each start.
+ * Creates an exchanger with keep-alive connections. It uses the HTTP client
+ * that is built into Node.js; a library would add to the time of each start.
  */
 export function createHttpExchanger(
   options: HttpExchangerOptions,
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -18,6 +18,7 @@
 /**
  * Returns the names of the tests listed in `text`: one entry per line, with the
  * name in double quotes. Empty lines and lines that begin with # are ignored.
+ * Throws if there are too many entries or if one has no name.
  */
 export function readKnownRed(text: string): string[] {
   const lines = text
