--- a/packages/manifest/__tests__/commit_manifest.spec.ts
+++ b/packages/manifest/__tests__/commit_manifest.spec.ts
@@ -21,7 +21,7 @@
 
 type CommitResult = Result<AcceptedManifest, CommitFailure>;
 
-/** Returns a manifest that differs for each mark. */
+/** Returns the text of a manifest that differs for each mark. */
 function bodyOf(mark: number): string {
   return SMALL_MANIFEST.replace('worth: 1,', `worth: ${mark + 1},`);
 }
@@ -74,7 +74,10 @@
   return {timer, runtime, platform, begin, commit, winners};
 }
 
-/** Returns a fault of the n-th call with a name. All others succeed. */
+/**
+ * Returns a function that gives the n-th call with a name a fault. All other
+ * calls succeed.
+ */
 function faultAt(call: string, number: number, fault: Fault) {
   let seen = 0;
   return (made: string): Fault =>
--- a/packages/manifest/src/settings_schema.ts
+++ b/packages/manifest/src/settings_schema.ts
@@ -1,4 +1,4 @@
-/** Schema of the settings of a proxy. Its types are inferred. */
+/** Schemas of the settings of a proxy. The types are inferred from them. */
 import {Result} from 'ts-results';
 import {z} from 'zod';
 
@@ -23,11 +23,11 @@
 
 /** Addresses on which the proxy listens. */
 export const listenAddressesSchema = z.strictObject({
-  /** Callers, over HTTP. */
+  /** Address for callers, over HTTP. */
   callers: addressSchema,
-  /** Other proxies, JSON-RPC over TCP. */
+  /** Address for other proxies, which send JSON-RPC over TCP. */
   peers: addressSchema,
-  /** Operators, over HTTP: methods, metrics and health checks. */
+  /** Address for operators, over HTTP: methods, metrics and health checks. */
   operators: addressSchema,
 });
 
@@ -54,24 +54,36 @@
   callerIdleTimeout: milliseconds(SECOND_MS).default(MINUTE_MS),
   /** Maximum time from the first byte of a request to its last. */
   requestReadTimeout: milliseconds(100, MINUTE_MS).default(10 * SECOND_MS),
-  /** Time after which an idle connection to a target is closed. */
+  /**
+   * Time after which an idle connection to a target is closed. The value is
+   * accepted, but not applied yet.
+   */
   targetIdleTimeout: milliseconds(SECOND_MS).default(MINUTE_MS),
   /** Time without a statement after which a transaction is rolled back. */
   transactionIdleTimeout: milliseconds(100).default(30 * SECOND_MS),
-  /** Maximum number of requests per group that wait for a target. */
+  /**
+   * Maximum number of requests per group that wait for a target. The value is
+   * accepted, but not applied yet.
+   */
   queueLength: wholeNumber(1, 1_000_000).default(1000),
-  /** Maximum deadline that a caller may set, counted from now. */
+  /** Maximum time from now to the deadline that a caller sets. */
   longestDeadline: milliseconds(SECOND_MS).default(5 * MINUTE_MS),
   /**
-   * Share of a target's connections that all proxies together use for
-   * requests. The rest is reserved for control connections.
+   * Share of a target's connections that all proxies together use for requests.
+   * The rest is reserved for control connections. The value is accepted, but
+   * not applied yet.
    */
   targetConnectionShare: positiveNumber(1).default(0.9),
 });
 
-/** Intervals and timeouts of the periodic tasks of the proxy. */
+/**
+ * Intervals and timeouts of the periodic tasks of the proxy, in milliseconds.
+ */
 export const intervalsSchema = z.strictObject({
-  /** Minimum time between heartbeats to the same peers. */
+  /**
+   * Base interval of the heartbeats to peers. The interval in use lengthens
+   * with the number of proxies, up to a bound.
+   */
   peerExchange: milliseconds(20, MINUTE_MS).default(200),
   /** Timeout of a peer's answer to a heartbeat. */
   peerExchangeTimeout: milliseconds(10, MINUTE_MS).default(300),
@@ -83,7 +95,10 @@
   manifestPoll: milliseconds(50, MINUTE_MS).default(500),
   /** Interval of reads of the instance list, on the proxies that poll it. */
   instancesPoll: milliseconds(50, MINUTE_MS).default(1000),
-  /** Interval of writes of audit entries and leaderships to the platform. */
+  /**
+   * Interval of writes of audit entries and leaderships to the platform. The
+   * value is accepted, but not applied yet.
+   */
   auditFlush: milliseconds(50, MINUTE_MS).default(SECOND_MS),
 });
 
@@ -94,7 +109,7 @@
   error: LOG_LEVEL_DESCRIPTION,
 });
 
-/** Settings of one proxy. */
+/** Schema of the settings file of one proxy. */
 export const settingsSchema = z.strictObject({
   /** Format version of the settings file. */
   format: z.literal(1, {error: 'the format 1'}),
@@ -119,7 +134,10 @@
 
 const MAXIMUM_SETTINGS_BYTES = 64 * KIBIBYTE;
 
-/** Reads settings. Returns every finding of the file if there are errors. */
+/**
+ * Reads the text of a settings file. If there are errors, returns every finding
+ * of the file.
+ */
 export function readSettings(
   text: string,
   fileName: string,
--- a/packages/platform/src/http_exchange.ts
+++ b/packages/platform/src/http_exchange.ts
@@ -29,26 +29,30 @@
       readonly message: string;
     };
 
-/** Sends a request to `ip:port`; settles within the timeout, in milliseconds. */
+/**
+ * Sends a request to `ip:port`; settles within the timeout, in milliseconds.
+ */
 export type HttpExchange = (
   address: string,
   request: HttpRequest,
   timeout: Milliseconds,
 ) => Future<HttpOutcome>;
 
-/** Sends requests over a pool of keep-alive connections. */
+/** An HTTP client that keeps its connections open between requests. */
 export interface HttpExchanger {
   readonly exchange: HttpExchange;
   /** Closes all connections. */
   close(): void;
 }
 
-/** Options of an exchanger. */
+/** Limits of an exchanger, and the timer for its timeouts. */
 export interface HttpExchangerOptions {
   readonly timer: TimerService;
   /** Maximum number of connections per address. */
   readonly connections: number;
-  /** The request fails if the response is larger, in bytes. */
+  /**
+   * Maximum size of a response, in bytes; a request with a larger one fails.
+   */
   readonly maximumResponseBytes?: number;
 }
 
@@ -58,9 +62,8 @@
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
 
 /**
- * Creates an exchanger with keep-alive connections. It uses the HTTP client of
- * Node.js, which is part of the start-up snapshot; a library would have to be
- * loaded at each start.
+ * Creates an exchanger with keep-alive connections. It uses the HTTP client
+ * that is built into Node.js; a library would add to the time of each start.
  */
 export function createHttpExchanger(
   options: HttpExchangerOptions,
@@ -74,7 +77,10 @@
     noDelay: true,
   });
 
-  /** Closes idle connections: they may be as unresponsive as the one that timed out. */
+  /**
+   * Closes the idle connections to an address at which a request timed out,
+   * since they may be as unresponsive.
+   */
   function closeIdleConnections(address: string): void {
     const idle = agent.freeSockets[agent.getName(parseAddress(address))] ?? [];
     [...idle].forEach(socket => socket.destroy());
--- a/packages/platform/src/http_platform_calls.ts
+++ b/packages/platform/src/http_platform_calls.ts
@@ -44,7 +44,10 @@
   parse(body: string): Result<T, string>;
 }
 
-/** A failed call; `mayHaveRun` if the request may have taken effect. */
+/**
+ * Creates the failure of a call without a usable response. Its outcome is
+ * `unknown` if the request may have taken effect, else `not_run`.
+ */
 export function createUnavailableFailure(
   message: string,
   mayHaveRun: boolean,
@@ -53,7 +56,9 @@
   return createFailure('PLATFORM_UNAVAILABLE', {message, outcome});
 }
 
-/** True for 4xx: the request was rejected and had no effect. */
+/**
+ * Returns whether a status is 4xx: the request was rejected and had no effect.
+ */
 function isClientError(status: number): boolean {
   return status >= HTTP_BAD_REQUEST && status < HTTP_SERVER_ERROR;
 }
@@ -92,7 +97,7 @@
   return `/tables/${encodeURIComponent(table)}/rows/${encodeURIComponent(key)}`;
 }
 
-/** The calls of the platform's HTTP API. */
+/** Builders of the requests of the platform's HTTP API, one per operation. */
 export const PLATFORM_CALLS = {
   readRow: (table: string, key: string): PlatformCall<TableRow> => ({
     request: {method: 'GET', path: rowPath(table, key)},
--- a/packages/platform/src/platform_client.ts
+++ b/packages/platform/src/platform_client.ts
@@ -8,7 +8,7 @@
 import type {Future} from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-/** The pending result of a call. */
+/** Settles with the result of a call or with its failure. */
 export type PlatformReply<T> = Future<Result<T, Failure>>;
 
 /**
@@ -28,7 +28,9 @@
     expectedVersion: number,
     value: unknown,
   ): PlatformReply<number>;
-  /** Lists at most `limit` rows with keys greater than `after`, ordered by key. */
+  /**
+   * Lists at most `limit` rows with keys greater than `after`, ordered by key.
+   */
   listRows(
     table: string,
     after: string,
--- a/packages/proxy/src/operator_server.ts
+++ b/packages/proxy/src/operator_server.ts
@@ -17,7 +17,7 @@
 } from './http_server';
 import {createJsonRpcDispatcher} from './json_rpc_dispatcher';
 
-/** Options of the operators' server. */
+/** Handlers, token and sources of the operators' server. */
 export interface OperatorServerOptions {
   readonly address: Address;
   readonly limits: HttpLimits;
@@ -42,7 +42,10 @@
   return createHash('sha256').update(text).digest();
 }
 
-/** Compares digests, so that the timing reveals neither content nor length. */
+/**
+ * Creates a check of a request's bearer token. It compares digests, so that the
+ * timing reveals neither content nor length of the token.
+ */
 export function createTokenCheck(token: string) {
   const expectedDigest = digest(token);
   return (request: IncomingMessage): boolean => {
@@ -83,7 +86,7 @@
   ]);
 }
 
-/** Starts the server for operators. */
+/** Starts the server for operators; fails with a message if it can't listen. */
 export function startOperatorServer(
   options: OperatorServerOptions,
 ): Future<Result<HttpServer, string>> {
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -11,14 +11,14 @@
 export interface RunFailures {
   /** Failed tests that KNOWN-RED.txt lists. */
   readonly knownRed: readonly string[];
-  /** Failed tests that it does not list. */
+  /** Failed tests that KNOWN-RED.txt does not list. */
   readonly unexpected: readonly string[];
 }
 
 /**
- * Returns the names of the tests listed in `text`: one entry per line, with
- * the name in double quotes. Empty lines and lines that begin with # don't
- * count.
+ * Returns the names of the tests listed in `text`: one entry per line, with the
+ * name in double quotes. Empty lines and lines that begin with # are ignored.
+ * Throws if there are too many entries or if one has no name.
  */
 export function readKnownRed(text: string): string[] {
   const lines = text
