--- a/packages/stand-ins/src/database/catch_up.ts
+++ b/packages/stand-ins/src/database/catch_up.ts
@@ -13,8 +13,8 @@
   /** Ends the catch-up because the database became primary itself. */
   becomePrimary(): void;
   /**
-   * True until the database's log reaches the first end that the followed
-   * primary reported.
+   * True until `position`, the end of the database's log, has reached the first
+   * end that the followed primary reported, or the database has become primary.
    */
   isCatchingUp(position: number): boolean;
 }
--- a/packages/stand-ins/src/database/connections.ts
+++ b/packages/stand-ins/src/database/connections.ts
@@ -9,10 +9,13 @@
 
 /** Delay between the refusal on a connection over the limit and its close. */
 const REFUSAL_CLOSE_DELAY_MS = 50;
-/** A connection over the limit closes after this unless it replicates. */
+/** Time after which a connection over the limit closes unless it replicates. */
 const EXCESS_CONNECTION_TIMEOUT_MS = 5000;
 
-/** Client and replication connections of a database. */
+/**
+ * Open connections of a database. Replication connections do not count against
+ * the connection limit.
+ */
 export interface Connections {
   accept(connection: Connection): void;
   /** Returns the session of a connection and creates it at the first call. */
@@ -22,12 +25,11 @@
   closeAll(): void;
 }
 
-/** Options of `createConnections`. */
 export interface ConnectionsOptions {
   readonly timer: TimerService;
   readonly settings: () => DatabaseSettings;
   readonly handlers: HandlerTable;
-  /** Called when a connection has ended. */
+  /** Called with the session of a connection that has ended. */
   readonly onClosed: (session: Session) => void;
 }
 
--- a/packages/stand-ins/src/database/database.ts
+++ b/packages/stand-ins/src/database/database.ts
@@ -59,7 +59,7 @@
 import {createStore} from './store';
 import {createTransactions} from './transactions';
 
-/** Options of `createDatabase`. */
+/** Identity, network and initial settings of a database. */
 export interface DatabaseOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -70,7 +70,10 @@
   /** Distinguishes processes with the same member id; random by default. */
   readonly incarnation?: string;
   readonly settings?: Partial<DatabaseSettings>;
-  /** Default: a timer with delay 0. On real time `setImmediate` is faster. */
+  /**
+   * Function that defers an action to the next turn of the event loop; by
+   * default a timer with delay 0. On real time `setImmediate` is faster.
+   */
   readonly defer?: Defer;
 }
 
--- a/packages/stand-ins/src/database/database_settings.ts
+++ b/packages/stand-ins/src/database/database_settings.ts
@@ -32,7 +32,10 @@
 export const databaseSettingsSchema = z.strictObject(settingsFields);
 export type DatabaseSettings = z.infer<typeof databaseSettingsSchema>;
 
-/** Default settings. */
+/**
+ * Settings of a database that is started without any; durations are in
+ * milliseconds.
+ */
 export const DEFAULT_DATABASE_SETTINGS: DatabaseSettings = {
   slots: 3,
   queueLimit: 1000,
--- a/packages/stand-ins/src/database/executor.ts
+++ b/packages/stand-ins/src/database/executor.ts
@@ -29,7 +29,7 @@
 type SettleKey = ParametersOf<typeof targetSettleKey>;
 type Answer<R> = Result<R, Failure>;
 
-/** Serves the RPC methods that read or change data. */
+/** Handlers of the RPC methods that read or change data. */
 export interface Executor {
   execute(parameters: Execute, session: Session): Future<Answer<Execution>>;
   begin(
@@ -44,7 +44,6 @@
   settleKey(parameters: SettleKey, session: Session): Future<Answer<KeyState>>;
 }
 
-/** Options of `createExecutor`. */
 export interface ExecutorOptions {
   readonly store: Store;
   readonly member: MemberState;
@@ -168,7 +167,10 @@
     });
   }
 
-  /** A retried commit is answered by its key after its transaction ended. */
+  /**
+   * Commits the session's transaction. A retry that arrives after the
+   * transaction has ended is answered from the recorded idempotency key.
+   */
   function applyCommit(
     parameters: Commit,
     session: Session,
--- a/packages/stand-ins/src/database/idempotency_keys.ts
+++ b/packages/stand-ins/src/database/idempotency_keys.ts
@@ -30,7 +30,9 @@
 /** Index of the recorded keys. */
 export interface IdempotencyKeys {
   find(key: IdempotencyKey): RecordedKey | undefined;
-  /** Failure for an unrecorded key that is too old or from the future. */
+  /**
+   * Returns a failure for an unrecorded key that is too old or from the future.
+   */
   validate(key: IdempotencyKey): Failure | undefined;
   /** Records the key of a log record, if it has one. */
   record(record: LogRecord): void;
--- a/packages/stand-ins/src/database/job_runner.ts
+++ b/packages/stand-ins/src/database/job_runner.ts
@@ -30,7 +30,6 @@
   serviceTime(): Milliseconds;
 }
 
-/** Options of `createJobRunner`. */
 export interface JobRunnerOptions {
   readonly runtime: Pick<Runtime, 'timer' | 'random'>;
   readonly slots: SlotPool;
--- a/packages/stand-ins/src/database/keyed_writer.ts
+++ b/packages/stand-ins/src/database/keyed_writer.ts
@@ -29,7 +29,11 @@
    * key is not usable or writes are paused.
    */
   writeOnce(record: NewRecord): Result<Execution, Failure>;
-  /** Returns the recorded state of a key; cancels the key if there is none. */
+  /**
+   * Returns the recorded state of a key. If there is none, cancels the key,
+   * unless writes are paused or the key is so old that it may have been
+   * deleted: these are failures.
+   */
   settle(term: number, key: IdempotencyKey): Result<KeyState, Failure>;
 }
 
--- a/packages/stand-ins/src/database/member_state.ts
+++ b/packages/stand-ins/src/database/member_state.ts
@@ -13,17 +13,22 @@
 import type {CatchUp} from './catch_up';
 import type {Store} from './store';
 
-/** State of a member and the operations that change it. */
+/** Term, role and pause of a member, and the operations that change them. */
 export interface MemberState {
   role(): TargetRole;
   term(): number;
   /** Address of the followed primary, if any. */
   following(): string | undefined;
-  /** Failure if the member is not the primary of exactly this term. */
+  /**
+   * Returns a failure if the member is not the primary of exactly this term.
+   */
   checkPrimary(term: number): Failure | undefined;
-  /** Failure while writes are paused. */
+  /** Returns a failure while writes are paused. */
   checkPause(): Failure | undefined;
-  /** Makes the member a replica in a higher term and refuses lower terms. */
+  /**
+   * Makes the member a replica in the given term. Fails with `TERM_TOO_LOW`
+   * unless the term is higher than the member's.
+   */
   fence(term: number): Result<undefined, Failure>;
   /**
    * Makes the member primary of the term it was fenced at and writes an empty
@@ -52,7 +57,6 @@
   ): Result<LogPosition, Failure>;
 }
 
-/** Options of `createMemberState`. */
 export interface MemberStateOptions {
   readonly timer: TimerService;
   readonly store: Store;
--- a/packages/stand-ins/src/database/position_stream.ts
+++ b/packages/stand-ins/src/database/position_stream.ts
@@ -14,7 +14,6 @@
   scheduleUpdate(): void;
 }
 
-/** Options of `createPositionStream`. */
 export interface PositionStreamOptions {
   readonly timer: TimerService;
   readonly defer: Defer;
--- a/packages/stand-ins/src/database/replication_client.ts
+++ b/packages/stand-ins/src/database/replication_client.ts
@@ -25,7 +25,10 @@
 const DIAL_TIMEOUT_MS: Milliseconds = 1000;
 const RETRY_BACKOFF_MS: Milliseconds = 50;
 const RETRY_JITTER_RATIO = 0.2;
-/** A connection closes after this many heartbeat intervals with no answer. */
+/**
+ * Number of heartbeat intervals without an answer after which the connection is
+ * closed.
+ */
 const MISSED_HEARTBEAT_COUNT = 5;
 
 /** Replicates from one primary at a time. */
@@ -38,7 +41,6 @@
   timeSinceLastAnswer(): Milliseconds;
 }
 
-/** Options of `createReplicationClient`. */
 export interface ReplicationClientOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
@@ -78,7 +80,10 @@
   const {timer, random} = runtime;
   let lastAnswerAt = timer.now();
   let task: TaskHandle<void> | undefined;
-  /** Increases with each stop, so that delayed records are not applied. */
+  /**
+   * Counter that increases with each stop, so that records whose lag ends after
+   * a stop are not applied.
+   */
   let epoch = 0;
 
   function applyBatch(keep: number, records: readonly LogRecord[]): void {
--- a/packages/stand-ins/src/database/replication_source.ts
+++ b/packages/stand-ins/src/database/replication_source.ts
@@ -34,7 +34,6 @@
   answerWaiters(): void;
 }
 
-/** Options of `createReplicationSource`. */
 export interface ReplicationSourceOptions {
   readonly timer: TimerService;
   readonly store: Store;
--- a/packages/stand-ins/src/database/slot_pool.ts
+++ b/packages/stand-ins/src/database/slot_pool.ts
@@ -7,7 +7,9 @@
   readonly queueLimit: number;
 }
 
-/** Leaves the queue; does nothing once the slot is granted. */
+/**
+ * Removes the statement from the queue; does nothing once its slot is granted.
+ */
 export type CancelWait = () => void;
 
 /** The statement slots of one database. */
--- a/packages/stand-ins/src/database/store.ts
+++ b/packages/stand-ins/src/database/store.ts
@@ -61,7 +61,6 @@
   truncate(keep: number): void;
 }
 
-/** Options of `createStore`. */
 export interface StoreOptions {
   readonly keys: IdempotencyKeys;
   /** Called after each change of the applied log. */
--- a/packages/stand-ins/src/embedded.ts
+++ b/packages/stand-ins/src/embedded.ts
@@ -23,7 +23,9 @@
   readonly settings?: Partial<DatabaseSettings>;
 }
 
-/** Options of `startEmbeddedStandIns`. */
+/**
+ * Databases and platform to start; their addresses are free ports by default.
+ */
 export interface EmbeddedStandInsOptions {
   readonly members: readonly EmbeddedMember[];
   /** Settings of all databases; those of a member take precedence. */
@@ -40,7 +42,7 @@
   readonly address: Address;
 }
 
-/** Running stand-ins. */
+/** Running databases and platform. */
 export interface EmbeddedStandIns {
   readonly platform: PlatformServer;
   /** Databases in the order of the members. */
--- a/packages/stand-ins/src/network/connection_registry.ts
+++ b/packages/stand-ins/src/network/connection_registry.ts
@@ -7,9 +7,12 @@
 /** Both ends of a connection; the client's end comes first. */
 export type ConnectionEnds = readonly [Endpoint, Endpoint];
 
-/** The connections of one network. */
+/**
+ * The connections of one network. Closed ones are removed when the number of
+ * connections reaches a threshold.
+ */
 export interface ConnectionRegistry {
-  /** Creates an open connection. */
+  /** Creates an open connection and returns its ends. */
   connect(
     client: HostProcess,
     server: HostProcess,
--- a/packages/stand-ins/src/network/endpoint.ts
+++ b/packages/stand-ins/src/network/endpoint.ts
@@ -44,7 +44,6 @@
   abandon(): void;
 }
 
-/** Options of `createEndpoint`. */
 export interface EndpointOptions {
   readonly host: string;
   readonly process: HostTimer;
--- a/packages/stand-ins/src/network/fake_network.ts
+++ b/packages/stand-ins/src/network/fake_network.ts
@@ -14,7 +14,7 @@
 import {HostTimer, createHostTimer} from './host_timer';
 import {MessagePredicate, createMessageRules} from './message_rules';
 
-/** Options of `createFakeNetwork`. */
+/** Clock, randomness and latencies of a fake network. */
 export interface FakeNetworkOptions {
   readonly timer: TimerService;
   readonly random: Random;
@@ -59,13 +59,17 @@
   freezeHost(host: string): void;
   thawHost(host: string): void;
   /**
-   * Drops the next matching answers; their requests were delivered. Returns a
-   * function that removes the rule, as do the two methods below.
+   * Drops the next `count` (1 by default) matching answers; their requests were
+   * delivered. Returns a function that removes the rule, as do the two methods
+   * below.
    */
   loseAnswers(predicate: MessagePredicate, count?: number): () => void;
-  /** Drops the next matching messages of any kind. */
+  /** Drops the next `count` (1 by default) matching messages of any kind. */
   loseMessages(predicate: MessagePredicate, count?: number): () => void;
-  /** Delays matching messages and those queued behind them. */
+  /**
+   * Delays the next `count` (by default all) matching messages, and with them
+   * the messages queued behind them.
+   */
   delayMessages(
     predicate: MessagePredicate,
     duration: Milliseconds,
--- a/packages/stand-ins/src/network/fake_transport.ts
+++ b/packages/stand-ins/src/network/fake_transport.ts
@@ -18,7 +18,6 @@
 import type {Endpoint} from './endpoint';
 import type {HostProcess} from './host_process';
 
-/** Options of `createFakeTransport`. */
 export interface FakeTransportOptions {
   readonly process: HostProcess;
   readonly timer: TimerService;
--- a/packages/stand-ins/src/network/host_timer.ts
+++ b/packages/stand-ins/src/network/host_timer.ts
@@ -10,8 +10,8 @@
 /** A timer service with fault injection. */
 export interface HostTimer extends TimerService {
   /**
-   * Runs an action immediately, or on thaw if the process is frozen; never
-   * after `stop`. Delayed actions run in the order of the calls.
+   * Runs an action immediately, or on thaw if the process is frozen. Delayed
+   * actions run in the order of the calls. After `stop` no action runs.
    */
   run(action: () => void): void;
   /** Pauses the process: its clocks advance but no action runs. */
@@ -26,7 +26,7 @@
   setWallClockOffset(offset: Milliseconds): void;
 }
 
-/** Options of `createHostTimer`. */
+/** Underlying timer and wall clock of a process. */
 export interface HostTimerOptions {
   readonly timer: TimerService;
   /** Initial offset of the wall clock, positive if ahead; 0 by default. */
--- a/packages/stand-ins/src/network/message_rules.ts
+++ b/packages/stand-ins/src/network/message_rules.ts
@@ -3,19 +3,19 @@
 
 import type {Endpoint} from './endpoint';
 
-/** A message as passed to predicates. */
+/** A message with its hosts and its method, as predicates receive it. */
 export interface MessageInTransit {
   /** IP address of the sending host. */
   readonly from: string;
   /** IP address of the receiving host. */
   readonly to: string;
-  /** Method of the message; of the original request if it is an answer. */
+  /** Method of the message; for an answer, the method of its request. */
   readonly method: string | undefined;
   readonly isAnswer: boolean;
   readonly message: unknown;
 }
 
-/** Selects messages. */
+/** Returns true for the messages to which a loss or delay applies. */
 export type MessagePredicate = (message: MessageInTransit) => boolean;
 
 /** Combined effect of the rules on a message. */
--- a/packages/stand-ins/src/platform/in_process_client.ts
+++ b/packages/stand-ins/src/platform/in_process_client.ts
@@ -12,7 +12,7 @@
 import type {Platform} from './platform';
 import type {PlatformOperation} from './platform_faults';
 
-/** Options of `createInProcessPlatformClient`. */
+/** Platform, timers and reachability of a client. */
 export interface InProcessPlatformClientOptions {
   readonly platform: Platform;
   /** Timer of the client's host; a frozen host gets its answers on thaw. */
--- a/packages/stand-ins/src/platform/platform.ts
+++ b/packages/stand-ins/src/platform/platform.ts
@@ -23,7 +23,7 @@
   configure(change: Partial<PlatformFaults>): void;
   /** Counts a call; true if its answer is to be dropped. */
   recordCall(operation: PlatformOperation): boolean;
-  /** Number of calls so far by operation. */
+  /** Number of calls so far, by operation. */
   calls(): Readonly<Record<PlatformOperation, number>>;
 }
 
--- a/packages/stand-ins/src/platform/platform_faults.ts
+++ b/packages/stand-ins/src/platform/platform_faults.ts
@@ -3,7 +3,7 @@
 
 const milliseconds = z.number().nonnegative();
 
-/** Operations, named after the methods of `PlatformClient`. */
+/** Operations of the platform, named after the methods of `PlatformClient`. */
 export const platformOperationSchema = z.enum([
   'readRow',
   'writeRow',
--- a/packages/stand-ins/src/platform/platform_routes.ts
+++ b/packages/stand-ins/src/platform/platform_routes.ts
@@ -21,7 +21,7 @@
   readonly text?: string;
 }
 
-/** The route of one request. */
+/** The handler of one request, with the operation that it counts as. */
 export interface PlatformRoute {
   /** `undefined` for a test-only route, which faults don't affect. */
   readonly operation: PlatformOperation | undefined;
@@ -40,7 +40,7 @@
   instances: z.array(listedInstanceSchema),
 });
 
-/** Creates an error response. */
+/** Creates a response whose JSON body is `{error}`. */
 export function errorAnswer(status: number, error: string): PlatformAnswer {
   return {status, json: {error}};
 }
--- a/packages/stand-ins/src/statement_group/run_record.ts
+++ b/packages/stand-ins/src/statement_group/run_record.ts
@@ -15,9 +15,12 @@
   readonly position: LogPosition;
   /** Session values of the connection. */
   readonly values: ReadonlyMap<string, string>;
-  /** Shape of the prepared statement; undefined for a plain statement. */
+  /**
+   * Access (read or write) and shape of the prepared statement, separated by a
+   * space; undefined for a plain statement.
+   */
   readonly shape: string | undefined;
-  /** Number of the connection. */
+  /** Number of the connection's session at the target. */
   readonly connection: number;
   /** Number of the transaction; undefined outside a transaction. */
   readonly transaction: number | undefined;
@@ -42,7 +45,7 @@
   readonly at: Milliseconds;
 }
 
-/** Receives the events of targets. */
+/** Callbacks for executed statements and for promotions of targets. */
 export interface RunRecorder {
   onRun(run: StatementRun): void;
   onPromotion(promotion: PromotionRecord): void;
--- a/packages/stand-ins/src/statement_group/stand_in_group.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_group.ts
@@ -26,7 +26,10 @@
 import {createStandInTarget} from './stand_in_target';
 import type {StandInTarget} from './stand_in_target_types';
 
-/** Options of `createStandInGroup`. */
+/**
+ * Targets, capacity and fault injection of a group. The first target is the
+ * initial primary.
+ */
 export interface StandInGroupOptions {
   readonly timer: TimerService;
   readonly network: LinkNetwork;
@@ -39,14 +42,17 @@
   /** Time for which a new connection occupies a slot; 0 by default. */
   readonly openingTime?: Milliseconds;
   readonly promotionTime: Milliseconds;
-  /** Delay between receiving a record and applying it. */
+  /** Returns the delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
   /**
-   * Delay of the next pause, resume or demote command to a target. A delayed
-   * command is not answered; 0 executes and answers it immediately.
+   * Returns the delay of the next pause, resume or demote command to a target.
+   * A delayed command is not answered; 0 executes and answers it immediately.
    */
   orderDelay(): Milliseconds;
-  /** Called for each batch of requests; true drops its answers. */
+  /**
+   * Called for each executed batch of requests; returns true to drop its
+   * answers.
+   */
   losesAnswer(): boolean;
 }
 
--- a/packages/stand-ins/src/statement_group/stand_in_store.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_store.ts
@@ -16,7 +16,10 @@
 
 /** Injected faults of the store. */
 export interface StoreFaults {
-  /** Clients whose calls are refused. */
+  /**
+   * Clients whose calls are refused. Their pending change requests fail as
+   * unanswered.
+   */
   refused: Set<string> | 'all';
   /** Clients whose calls get no answer. */
   silent: Set<string> | 'all';
@@ -32,7 +35,10 @@
 export interface StandInStore {
   /** Returns the store interface of a named client. */
   clientOf(name: string): TableStore;
-  /** Writes a row without a version check, as the operator and targets do. */
+  /**
+   * Writes a row without a version check, which is how the operator and targets
+   * write.
+   */
   put(table: string, key: string, value: unknown): void;
   remove(table: string, key: string): void;
   /** Deletes the change history; older change requests fail from now on. */
@@ -47,7 +53,7 @@
   readonly faults: StoreFaults;
 }
 
-/** Options of `createStandInStore`. */
+/** Timer, randomness and answer time of a store. */
 export interface StandInStoreOptions {
   readonly timer: TimerService;
   readonly random: Random;
--- a/packages/stand-ins/src/statement_group/stand_in_target_types.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target_types.ts
@@ -5,7 +5,7 @@
 
 import type {LogRecord, RunRecorder} from './run_record';
 
-/** Options of `createStandInTarget`. */
+/** Identity, capacity and fault injection of a target. */
 export interface StandInTargetOptions {
   readonly timer: TimerService;
   readonly target: string;
@@ -15,11 +15,11 @@
   /** Time for which a new connection occupies a slot. */
   readonly openingTime: Milliseconds;
   readonly recorder: RunRecorder;
-  /** Delay between receiving a record and applying it. */
+  /** Returns the delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
   /**
-   * Delay of the next pause, resume or demote command. A delayed command is not
-   * answered; 0 executes and answers it immediately.
+   * Returns the delay of the next pause, resume or demote command. A delayed
+   * command is not answered; 0 executes and answers it immediately.
    */
   orderDelay(): Milliseconds;
   /** Called when a primary has appended a record, to replicate it. */
@@ -49,9 +49,11 @@
     previous: LogPosition,
     records: readonly LogRecord[],
   ): boolean;
-  /** Makes it a replica in a term, with the log of that term's primary. */
+  /**
+   * Makes the target a replica in a term, with the log of that term's primary.
+   */
   follow(term: number, log: readonly LogRecord[]): void;
-  /** Makes it the primary of a term. */
+  /** Makes the target the primary of a term. */
   becomePrimary(term: number): void;
   /** Reports that a replica has received the log up to a position. */
   acknowledge(position: LogPosition): void;
--- a/packages/stand-ins/src/statement_group/target_session.ts
+++ b/packages/stand-ins/src/statement_group/target_session.ts
@@ -12,7 +12,10 @@
   /** User of the connection; undefined if the proxy opened it for itself. */
   readonly user: string | undefined;
   readonly values: Map<string, string>;
-  /** Access and shape of prepared statements, by name. */
+  /**
+   * Access and shape of each prepared statement, separated by a space, by its
+   * name.
+   */
   readonly prepared: Map<string, string>;
   transaction: OpenTransaction | undefined;
   /** True if a statement of the open transaction has failed. */
