--- a/packages/bench/src/failover_gap/measure_failover.ts
+++ b/packages/bench/src/failover_gap/measure_failover.ts
@@ -16,7 +16,7 @@
 const SWITCH_OVER_GOAL = {maximum: 100};
 const IN_FORCE_GOAL = {maximum: 1000};
 
-/** Options of a failover measurement. */
+/** Deployment and number of runs of a failover measurement. */
 export interface FailoverMeasurementOptions {
   readonly deployment: DeploymentName;
   /** Number of failures and planned changes of each kind. */
@@ -91,7 +91,8 @@
         goal: IN_FORCE_GOAL,
       },
       {
-        // No goal: only reads count, and the target may have served none.
+        // There is no goal: only reads count, and the target may have served
+        // none.
         kind: 'last read of a leaving target',
         samples: planned.lastRead,
       },
--- a/packages/bench/src/failover_gap/planned_changes.ts
+++ b/packages/bench/src/failover_gap/planned_changes.ts
@@ -12,11 +12,20 @@
 
 /** Samples of planned changes in milliseconds, one of each kind per run. */
 export interface PlannedChanges {
-  /** Longest time without a confirmed write during the switch-over. */
+  /**
+   * Longest time without a confirmed write, from the start of the commit until
+   * the observation time is over.
+   */
   readonly switchOver: readonly number[];
-  /** From the start of the commit until the manifest is in force on all proxies. */
+  /**
+   * Time from the start of the commit until the manifest is in force on all
+   * proxies.
+   */
   readonly inForce: readonly number[];
-  /** From the start of the commit to the last read that the target served. */
+  /**
+   * Time from the start of the commit until a reader sent the last read that
+   * the leaving target served; 0 if it served none.
+   */
   readonly lastRead: readonly number[];
 }
 
@@ -29,7 +38,7 @@
 const READ_PAUSE_MS = 10;
 const MAXIMUM_AGE_MS = 3000;
 const ENTRY_COUNT_BEFORE = 20;
-/** Reads served by the leaving target are recorded for this time. */
+/** Time after the switch-over for which the load still counts in the run. */
 const OBSERVATION_TIME_MS = 3000;
 
 /** Starts readers that accept staleness and record the target of each read. */
--- a/packages/bench/src/policies/compare_policies.ts
+++ b/packages/bench/src/policies/compare_policies.ts
@@ -28,7 +28,10 @@
 }
 
 const WARM_UP_MS: Milliseconds = 3000;
-/** Lets the last requests complete; covers the longest deadline. */
+/**
+ * Time after the load in which the last requests complete; it covers the
+ * longest deadline.
+ */
 const COMPLETION_TIME_MS: Milliseconds = 4000;
 const REPLICATION_LAG_MS: Milliseconds = 20;
 const READ_STALENESS_MS: Milliseconds = 1000;
--- a/packages/bench/src/policies/fault_metrics.ts
+++ b/packages/bench/src/policies/fault_metrics.ts
@@ -14,7 +14,10 @@
   readonly servedShare: number;
   /** Longest time without a served write after the fault. */
   readonly writeGapMilliseconds: number;
-  /** Time from the fault until service stays normal. */
+  /**
+   * Time from the fault until the end of the last interval of 500 ms with less
+   * than 90 % of the service before the fault; 0 if there is none.
+   */
   readonly returnMilliseconds: number;
   /** Share of served reads from a replica; every read accepts staleness. */
   readonly replicaShare: number;
@@ -25,7 +28,7 @@
   readonly repeats: number;
 }
 
-/** A finished run. */
+/** Requests of a finished run and the time of its fault. */
 export interface FaultRun {
   readonly requests: readonly LoadRequest[];
   readonly faultAt: Milliseconds;
@@ -69,7 +72,10 @@
   return longest;
 }
 
-/** Returns the end of the last bucket below normal service. */
+/**
+ * Returns the time from the fault to the end of the last bucket below normal
+ * service; 0 if there is none.
+ */
 function recoveryTime(
   {faultAt, span}: FaultRun,
   after: readonly LoadRequest[],
@@ -92,7 +98,10 @@
   return end;
 }
 
-/** Computes the metrics of a finished run. */
+/**
+ * Computes the metrics from the requests that arrived within `span` before the
+ * fault and within `span` after it.
+ */
 export function computeFaultMetrics(run: FaultRun): FaultMetrics {
   const {requests, faultAt, span} = run;
   const arrivedFrom = (from: Milliseconds) =>
--- a/packages/bench/src/policies/open_loop_load.ts
+++ b/packages/bench/src/policies/open_loop_load.ts
@@ -4,7 +4,10 @@
 
 import {LoadKind, pickKind, createStatement} from './request_mix';
 
-/** A request of the load and its outcome. Times are monotonic. */
+/**
+ * A request of the load and its outcome. Its times are readings of the
+ * monotonic clock in milliseconds.
+ */
 export interface LoadRequest {
   readonly kind: LoadKind;
   readonly arrivedAt: Milliseconds;
@@ -20,7 +23,7 @@
   attempts: number;
 }
 
-/** Options of an open-loop load. */
+/** Cluster, arrival rate and end of an open-loop load. */
 export interface OpenLoopLoadOptions {
   readonly cluster: Cluster;
   readonly group: string;
@@ -68,7 +71,10 @@
     request.role = answer.servedBy?.role;
   }
 
-  /** Retries after the requested backoff while the deadline allows it. */
+  /**
+   * Sends a request and retries it after the requested backoff while the
+   * deadline allows it.
+   */
   function* send(request: LoadRequest): Task<void> {
     const {kind, arrivedAt} = request;
     const session = random.integer(0, SESSION_COUNT - 1);
@@ -121,7 +127,7 @@
     ended.push(request);
   }
 
-  /** Interarrival times are exponentially distributed. */
+  /** Starts requests at exponentially distributed intervals. */
   function* generateArrivals(): Task<void> {
     while (timer.now() < endsAt) {
       yield* sleep(-Math.log(1 - random.fraction()) / rate);
--- a/packages/bench/src/policies/request_mix.ts
+++ b/packages/bench/src/policies/request_mix.ts
@@ -2,7 +2,7 @@
 import type {Milliseconds, Random} from '@kelpstep/runtime';
 import type {Statement} from '@kelpstep/protocol';
 
-/** A kind of request of the load. */
+/** Share, worth and limits of one kind of request. */
 export interface LoadKind {
   /** A request kind of the manifest that simulated clusters commit. */
   readonly name: string;
--- a/packages/bench/src/proxied_read/bench_processes.ts
+++ b/packages/bench/src/proxied_read/bench_processes.ts
@@ -43,7 +43,10 @@
 const REQUEST_TIMEOUT_MS = 10_000;
 const STARTUP_TIMEOUT_MS = 30_000;
 const POLL_INTERVAL_MS = 50;
-/** High enough that slots and connections never limit the load. */
+/**
+ * Number of slots of each database, and half its connection limit; it is high
+ * enough that neither limits the load.
+ */
 const AMPLE_SLOT_COUNT = 200;
 const BYTES_PER_KIBIBYTE = 1024;
 /** Indexes among the fields after the program name in `/proc/PID/stat`. */
--- a/packages/bench/src/proxied_read/load_connection.ts
+++ b/packages/bench/src/proxied_read/load_connection.ts
@@ -4,7 +4,7 @@
 
 import type {Protocol} from './load_plan';
 
-/** A connection of a load generator. */
+/** A connection on which at most one request is outstanding. */
 export interface LoadConnection {
   /** Sends the text of a JSON-RPC request. */
   send(body: string, onAnswer: (body: string) => void): void;
--- a/packages/bench/src/proxied_read/load_plan.ts
+++ b/packages/bench/src/proxied_read/load_plan.ts
@@ -5,7 +5,7 @@
 
 /** One load phase. Durations are in milliseconds. */
 export interface LoadPlan {
-  /** `ip:port`. */
+  /** Address to send to, as `ip:port`. */
   readonly address: string;
   readonly protocol: Protocol;
   readonly connections: number;
--- a/packages/bench/src/proxied_read/proxied_read.ts
+++ b/packages/bench/src/proxied_read/proxied_read.ts
@@ -11,7 +11,7 @@
 import {BenchProcesses, GROUP, startBenchProcesses} from './bench_processes';
 import type {LoadPlan, LoadResult} from './load_plan';
 
-/** Options of a bench run. */
+/** Phases of a bench run and the flags of its proxy. */
 export interface ProxiedReadOptions {
   /** Length of each measured phase, milliseconds. */
   readonly duration: number;
--- a/packages/bench/src/slopes/counting_transport.ts
+++ b/packages/bench/src/slopes/counting_transport.ts
@@ -6,7 +6,10 @@
 export interface Traffic {
   sentMessages: number;
   receivedMessages: number;
-  /** JSON text and line end, which is the TCP payload without headers. */
+  /**
+   * Bytes of JSON text and line ends, which are the TCP payload without
+   * headers.
+   */
   sentBytes: number;
   receivedBytes: number;
 }
--- a/packages/bench/src/slopes/failure_detector_slope.ts
+++ b/packages/bench/src/slopes/failure_detector_slope.ts
@@ -17,7 +17,7 @@
   readonly groups: number;
   /** Rank as failure detector; undefined if the groups are only used. */
   readonly rank: number | undefined;
-  /** Whether callers use the groups all the time. */
+  /** Whether a caller uses each group once per second. */
   readonly used: boolean;
   readonly writesPerSecond: number;
   /** Simulated number of groups in the manifest; sets the probe interval. */
@@ -78,7 +78,10 @@
 const USED_GROUP_COUNTS = [3, 10, 30, 100];
 const WRITE_RATES_PER_SECOND = [0, 10, 50];
 const WRITTEN_GROUP_COUNT = 10;
-/** Current size, at which position streams are followed, and planned size. */
+/**
+ * Numbers of groups: the current one, at which position streams are followed,
+ * and the planned one.
+ */
 const MANIFEST_GROUP_COUNTS = [8, 5667];
 
 function measureGroups(
--- a/packages/bench/src/slopes/stub_targets.ts
+++ b/packages/bench/src/slopes/stub_targets.ts
@@ -18,7 +18,6 @@
 import {Milliseconds, TimerService, settledFuture} from '@kelpstep/runtime';
 import {Ok} from 'ts-results';
 
-/** Options of stub targets. */
 export interface StubTargetOptions {
   readonly transport: Transport;
   readonly timer: TimerService;
