--- a/packages/bench/src/failover_gap/primary_failures.ts
+++ b/packages/bench/src/failover_gap/primary_failures.ts
@@ -43,7 +43,10 @@
   return Math.max(...gaps);
 }
 
-/** Fails the primary repeatedly; returns the gap of each run, milliseconds. */
+/**
+ * Makes the primary fail `runs` times; returns the longest time without a
+ * confirmed write of each run, in milliseconds.
+ */
 export async function measurePrimaryFailures(
   cluster: ProcessCluster,
   kind: PrimaryFailureKind,
--- a/packages/bench/src/policies/fault_metrics.ts
+++ b/packages/bench/src/policies/fault_metrics.ts
@@ -15,11 +15,15 @@
   /** Longest time without a served write after the fault. */
   readonly writeGapMilliseconds: number;
   /**
-   * Time from the fault until the end of the last interval of 500 ms with less
-   * than 90 % of the service before the fault; 0 if there is none.
+   * Time from the fault until the end of the last interval of 500 ms in which
+   * the served share of the requested worth was below 90 % of the share before
+   * the fault; 0 if there is none.
    */
   readonly returnMilliseconds: number;
-  /** Share of served reads from a replica; every read accepts staleness. */
+  /**
+   * Share of the served reads that a replica served; every read accepts
+   * staleness.
+   */
   readonly replicaShare: number;
   readonly refused: number;
   readonly late: number;
@@ -37,9 +41,12 @@
 }
 
 const PERCENT = 100;
-/** Interval for comparing service with the period before the fault. */
+/**
+ * Length of the intervals whose served share of worth is compared with the
+ * share before the fault.
+ */
 const BUCKET_MS: Milliseconds = 500;
-/** Smallest share of the previous service that counts as normal. */
+/** Lowest ratio to the share before the fault that counts as normal service. */
 const NORMAL_SERVICE_RATIO = 0.9;
 
 function percent(part: number, whole: number): number {
--- a/packages/bench/src/policies/request_mix.ts
+++ b/packages/bench/src/policies/request_mix.ts
@@ -6,7 +6,7 @@
 export interface LoadKind {
   /** A request kind of the manifest that simulated clusters commit. */
   readonly name: string;
-  /** Share of all requests, percent. */
+  /** Share of all requests in percent. */
   readonly share: number;
   readonly worth: number;
   readonly deadline: Milliseconds;
--- a/packages/bench/src/proxied_read/proxied_read.ts
+++ b/packages/bench/src/proxied_read/proxied_read.ts
@@ -13,7 +13,7 @@
 
 /** Phases of a bench run and the flags of its proxy. */
 export interface ProxiedReadOptions {
-  /** Length of each measured phase, milliseconds. */
+  /** Length of each measured phase in milliseconds. */
   readonly duration: number;
   /** Node.js flags of the proxy. */
   readonly proxyFlags: readonly string[];
@@ -180,7 +180,7 @@
     }
     onRow({
       ...createRow(load, path, result),
-      // Varies less than the rate on a shared machine.
+      // This value varies less than the rate on a shared machine.
       proxyMicroseconds:
         path === 'proxy'
           ? (processorTime * MICROSECONDS_PER_MILLISECOND) / result.sent
@@ -199,7 +199,7 @@
         {connections: CALLER_CONNECTIONS, rate: MEMORY_RATE_PER_SECOND},
       );
     await measureMemory('fresh');
-    // Keeps compilation out of the measured phases.
+    // The warm-up keeps compilation out of the measured phases.
     await warmUpAll(processes, templates);
     const openLoop = {
       connections: OPEN_LOOP_CONNECTIONS,
--- a/packages/bench/src/proxied_read/run_load.ts
+++ b/packages/bench/src/proxied_read/run_load.ts
@@ -10,7 +10,10 @@
 /** Time to wait for outstanding answers after the phase. */
 const COMPLETION_TIMEOUT_MS = 1000;
 
-/** Runs a phase and returns its results. */
+/**
+ * Opens the connections, runs a phase on them and waits a limited time for
+ * outstanding answers.
+ */
 export async function runLoad(plan: LoadPlan): Promise<LoadResult> {
   const idleConnections = await Promise.all(
     Array.from({length: plan.connections}, () =>
@@ -37,7 +40,10 @@
     return JSON.stringify({jsonrpc: '2.0', id, method: plan.method, params});
   }
 
-  /** Measures latency from the due time, not from the time of sending. */
+  /**
+   * Records an answer that arrives during the measurement. Its latency counts
+   * from the due time of the request, not from the time of sending.
+   */
   function record(body: string, dueAt: number): void {
     const now = performance.now();
     if (now < measurementStartsAt || now > endsAt) {
@@ -84,7 +90,10 @@
     }
   }
 
-  /** Polls on every event loop turn, because timers are too coarse. */
+  /**
+   * Sends due requests on every turn of the event loop, because timers are too
+   * coarse.
+   */
   function runOpenLoop(rate: number, onEnd: () => void): void {
     sendDue(rate);
     if (performance.now() < endsAt) {
--- a/packages/bench/src/slopes/manifest_slope.ts
+++ b/packages/bench/src/slopes/manifest_slope.ts
@@ -133,7 +133,7 @@
 const GROUP_COUNTS = [3, 10, 30, 100, 250];
 const VERSION_RATES_PER_MINUTE = [0, 6, 12];
 
-/** Measures the manifest series. */
+/** Measures manifests by number of groups, and the poller by version rate. */
 export function measureManifestSeries(): Series[] {
   return [
     {
--- a/packages/bench/src/slopes/membership_slope.ts
+++ b/packages/bench/src/slopes/membership_slope.ts
@@ -30,7 +30,10 @@
   readonly proxies: number;
   /** Changes of leadership per second in the whole cluster. */
   readonly leadershipChangesPerSecond: number;
-  /** Minimum number of proxies that the gossip timing is computed for. */
+  /**
+   * Minimum number of proxies for which the gossip timing is computed; 0 by
+   * default.
+   */
   readonly timingProxyCount?: number;
 }
 
@@ -155,7 +158,6 @@
 const LEADERSHIP_CHANGES_PER_SECOND = [0, 0.1, 0.2, 0.5];
 const LEADERSHIP_CHANGE_PROXY_COUNT = 128;
 
-/** Measures the membership series. */
 export function measureMembershipSeries(): Series[] {
   const timingProxyCount = SLOWEST_TIMING_PROXY_COUNT;
   return [
--- a/packages/bench/src/slopes/rank_slope.ts
+++ b/packages/bench/src/slopes/rank_slope.ts
@@ -26,7 +26,10 @@
   };
 }
 
-/** Computes the ranks of all groups, then repeats it for monitored groups. */
+/**
+ * Measures one computation of the ranks of all groups, then repeated
+ * computations for the groups that the proxy monitors.
+ */
 export function measureRanks(proxies: number): Point {
   const timer = createVirtualTimer();
   const membership = createMembership({
--- a/packages/stand-ins/src/database/member_state.ts
+++ b/packages/stand-ins/src/database/member_state.ts
@@ -48,7 +48,10 @@
     replaces: LogPosition,
     configuration: Configuration,
   ): Result<LogPosition, Failure>;
-  /** Makes the member a replica of the primary of a term. */
+  /**
+   * Makes the member a replica of the primary of a term. Fails if the term is
+   * lower than its own or if the member is the primary of this term.
+   */
   follow(term: number, primary: string): Result<undefined, Failure>;
   /** Refuses writes for a duration; returns the end of the log. */
   pauseWrites(
--- a/packages/stand-ins/src/embedded.ts
+++ b/packages/stand-ins/src/embedded.ts
@@ -13,7 +13,7 @@
 import type {DatabaseSettings} from './database/database_settings';
 import {PlatformServer, startPlatformServer} from './platform/platform_server';
 
-/** Options of one database. */
+/** Id, address and settings of one database. */
 export interface EmbeddedMember {
   /** Member id, as in the manifest. */
   readonly id: string;
--- a/packages/stand-ins/src/network/fake_network.ts
+++ b/packages/stand-ins/src/network/fake_network.ts
@@ -49,7 +49,10 @@
   healAll(): void;
   /** True if packets from one host can't reach the other. */
   isCut(from: string, to: string): boolean;
-  /** Drops all further frames on the open connections between two hosts. */
+  /**
+   * Drops all frames on the open connections between two hosts, including
+   * frames in flight.
+   */
   silence(left: string, right: string): void;
   /** Kills the process: its connections are reset and dials are refused. */
   killHost(host: string): void;
--- a/packages/stand-ins/src/platform/platform_server.ts
+++ b/packages/stand-ins/src/platform/platform_server.ts
@@ -13,7 +13,10 @@
   findRoute,
 } from './platform_routes';
 
-/** Options of `startPlatformServer`. */
+/**
+ * Listen address, timer and initial faults of a platform server. By default it
+ * runs on real time without faults.
+ */
 export interface PlatformServerOptions {
   /** Listen address; port 0 selects a free port. */
   readonly address: Address;
--- a/packages/stand-ins/src/statement_group/link_network.ts
+++ b/packages/stand-ins/src/statement_group/link_network.ts
@@ -49,7 +49,10 @@
       }
     }
 
-    /** Also holds a message if the partition began while it was in transit. */
+    /**
+     * Receives the message, or holds it back if a partition began while it was
+     * in transit.
+     */
     function arrive(): void {
       const waiting = heldMessages.get(pairOf(from, to));
       if (waiting === undefined) {
--- a/packages/stand-ins/src/statement_group/stand_in_group.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_group.ts
@@ -74,8 +74,10 @@
     firstRequests?: readonly TargetRequest[],
   ): Future<Result<OpenedConnection, OpenFailure>>;
   /**
-   * Starts a promotion. Returns false if the target is not running or a higher
-   * epoch has been used before.
+   * Starts a promotion, which is dropped if the target stops or a higher epoch
+   * is used before it completes. Returns false if the target is not running or
+   * a higher epoch has been used before; returns true without a promotion if
+   * the target is the primary already.
    */
   promote(target: string, epoch: number, holder: string): boolean;
   /** Kills a target's process and closes its connections. */
@@ -141,7 +143,8 @@
   }
   targets.get(primaryName)?.becomePrimary(term);
 
-  // Sends the whole log at an interval to replicas that missed records.
+  // The primary sends its whole log to all other targets at an interval, for
+  // the case that they missed records.
   timer.every(CATCH_UP_INTERVAL_MS, () => {
     const primary = targets.get(primaryName);
     if (primary?.isRunning() && primary.role() === 'primary') {
@@ -161,8 +164,8 @@
       replica.follow(primary.term(), primary.log());
     }
     if (replica.receive(primary.term(), EMPTY_LOG_END, primary.log())) {
-      // Read now: if the message is delayed, it must not acknowledge records of
-      // a later term.
+      // The end is read now: a message that arrives late must not acknowledge
+      // records of a later term.
       const received = replica.received();
       network.deliver(replica.target, primary.target, () =>
         primary.acknowledge(received),
