--- a/packages/bench/src/policies/named_faults.ts
+++ b/packages/bench/src/policies/named_faults.ts
@@ -34,7 +34,9 @@
   });
 }
 
-/** Faults by name. */
+/**
+ * Functions that inject a fault, by the name that `RunSettings.fault` holds.
+ */
 export const NAMED_FAULTS = {
   none: () => {},
   'kill-primary': createActionFault('kill-target', 'primary'),
--- a/packages/bench/src/proxied_read/bench_processes.ts
+++ b/packages/bench/src/proxied_read/bench_processes.ts
@@ -18,7 +18,7 @@
   LoadResult,
 } from './load_plan';
 
-/** Running processes of the bench. */
+/** Addresses and controls of the running processes of the bench. */
 export interface BenchProcesses {
   /** Address of the proxy for callers. */
   readonly proxy: string;
--- a/packages/bench/src/slopes/membership_slope.ts
+++ b/packages/bench/src/slopes/membership_slope.ts
@@ -25,7 +25,7 @@
 import {Cost, measureCost, usedHeapBytes} from './meter';
 import {Point, Series, measureAfterWarmUp} from './series';
 
-/** Load of a membership run. */
+/** Size of the cluster and rate of changes that one run simulates. */
 export interface MembershipLoad {
   readonly proxies: number;
   /** Changes of leadership per second in the whole cluster. */
--- a/packages/stand-ins/src/database/database.ts
+++ b/packages/stand-ins/src/database/database.ts
@@ -77,7 +77,7 @@
   readonly defer?: Defer;
 }
 
-/** A running database. */
+/** A database that listens until `stop`, with its control functions. */
 export interface Database {
   /** Settles with the bound address, or with the error of a failed listen. */
   readonly listening: Future<Result<Address, TransportError>>;
--- a/packages/stand-ins/src/database/statements.ts
+++ b/packages/stand-ins/src/database/statements.ts
@@ -12,7 +12,7 @@
 
 import type {Tables} from './tables';
 
-/** A validated statement. */
+/** A statement whose text, parameters and mode have been validated. */
 export interface PreparedStatement {
   /** Time for which it occupies its slot beyond the service time. */
   readonly extraTime: Milliseconds;
--- a/packages/stand-ins/src/network/host_process.ts
+++ b/packages/stand-ins/src/network/host_process.ts
@@ -3,7 +3,7 @@
 
 import type {HostTimer} from './host_timer';
 
-/** A process and its listeners. */
+/** A process with its timer and its listeners. */
 export interface HostProcess {
   /** IP address of the host. */
   readonly host: string;
--- a/packages/stand-ins/src/platform/platform_server.ts
+++ b/packages/stand-ins/src/platform/platform_server.ts
@@ -24,7 +24,7 @@
   readonly faults?: Partial<PlatformFaults>;
 }
 
-/** A running platform server. */
+/** A platform server that listens until `stop`; `address` is the bound one. */
 export interface PlatformServer {
   readonly address: Address;
   /** The served platform, for tests in the same process. */
--- a/packages/stand-ins/src/statement_group/target_session.ts
+++ b/packages/stand-ins/src/statement_group/target_session.ts
@@ -22,7 +22,7 @@
   hasFailed: boolean;
 }
 
-/** An open transaction. */
+/** An open transaction; `writes` holds the ids of its write statements. */
 export interface OpenTransaction {
   readonly number: number;
   readonly isReadOnly: boolean;
@@ -45,7 +45,10 @@
   };
 }
 
-/** Returns the transaction state of a session. */
+/**
+ * Returns `failed` once a statement of the transaction has failed, otherwise
+ * `open` or `idle`.
+ */
 export function transactionStateOf(session: TargetSession): TransactionState {
   if (session.hasFailed) {
     return 'failed';
