--- a/packages/bench/src/policies/fault_metrics.ts
+++ b/packages/bench/src/policies/fault_metrics.ts
@@ -14,9 +14,16 @@
   readonly servedShare: number;
   /** Longest time without a served write after the fault. */
   readonly writeGapMilliseconds: number;
-  /** Time from the fault until service stays normal. */
+  /**
+   * Time from the fault until the end of the last interval of 500 ms in which
+   * the served share of the requested worth was below 90 % of the share before
+   * the fault; 0 if there is none.
+   */
   readonly returnMilliseconds: number;
-  /** Share of served reads from a replica; every read accepts staleness. */
+  /**
+   * Share of the served reads that a replica served; every read accepts
+   * staleness.
+   */
   readonly replicaShare: number;
   readonly refused: number;
   readonly late: number;
@@ -25,7 +32,7 @@
   readonly repeats: number;
 }
 
-/** A finished run. */
+/** Requests of a finished run and the time of its fault. */
 export interface FaultRun {
   readonly requests: readonly LoadRequest[];
   readonly faultAt: Milliseconds;
@@ -34,9 +41,12 @@
 }
 
 const PERCENT = 100;
-/** Interval for comparing service with the period before the fault. */
+/**
+ * Length of the intervals whose served share of worth is compared with the
+ * share before the fault.
+ */
 const BUCKET_MS: Milliseconds = 500;
-/** Smallest share of the previous service that counts as normal. */
+/** Lowest ratio to the share before the fault that counts as normal service. */
 const NORMAL_SERVICE_RATIO = 0.9;
 
 function percent(part: number, whole: number): number {
@@ -69,7 +79,10 @@
   return longest;
 }
 
-/** Returns the end of the last bucket below normal service. */
+/**
+ * Returns the time from the fault to the end of the last bucket below normal
+ * service; 0 if there is none.
+ */
 function recoveryTime(
   {faultAt, span}: FaultRun,
   after: readonly LoadRequest[],
@@ -92,7 +105,10 @@
   return end;
 }
 
-/** Computes the metrics of a finished run. */
+/**
+ * Computes the metrics from the requests that arrived within `span` before the
+ * fault and within `span` after it.
+ */
 export function computeFaultMetrics(run: FaultRun): FaultMetrics {
   const {requests, faultAt, span} = run;
   const arrivedFrom = (from: Milliseconds) =>
--- a/packages/stand-ins/src/embedded.ts
+++ b/packages/stand-ins/src/embedded.ts
@@ -13,7 +13,7 @@
 import type {DatabaseSettings} from './database/database_settings';
 import {PlatformServer, startPlatformServer} from './platform/platform_server';
 
-/** Options of one database. */
+/** Id, address and settings of one database. */
 export interface EmbeddedMember {
   /** Member id, as in the manifest. */
   readonly id: string;
@@ -23,7 +23,9 @@
   readonly settings?: Partial<DatabaseSettings>;
 }
 
-/** Options of `startEmbeddedStandIns`. */
+/**
+ * Databases and platform to start; their addresses are free ports by default.
+ */
 export interface EmbeddedStandInsOptions {
   readonly members: readonly EmbeddedMember[];
   /** Settings of all databases; those of a member take precedence. */
@@ -40,7 +42,7 @@
   readonly address: Address;
 }
 
-/** Running stand-ins. */
+/** Running databases and platform. */
 export interface EmbeddedStandIns {
   readonly platform: PlatformServer;
   /** Databases in the order of the members. */
--- a/packages/stand-ins/src/network/fake_network.ts
+++ b/packages/stand-ins/src/network/fake_network.ts
@@ -14,7 +14,7 @@
 import {HostTimer, createHostTimer} from './host_timer';
 import {MessagePredicate, createMessageRules} from './message_rules';
 
-/** Options of `createFakeNetwork`. */
+/** Clock, randomness and latencies of a fake network. */
 export interface FakeNetworkOptions {
   readonly timer: TimerService;
   readonly random: Random;
@@ -49,7 +49,10 @@
   healAll(): void;
   /** True if packets from one host can't reach the other. */
   isCut(from: string, to: string): boolean;
-  /** Drops all further frames on the open connections between two hosts. */
+  /**
+   * Drops all frames on the open connections between two hosts, including
+   * frames in flight.
+   */
   silence(left: string, right: string): void;
   /** Kills the process: its connections are reset and dials are refused. */
   killHost(host: string): void;
@@ -59,13 +62,17 @@
   freezeHost(host: string): void;
   thawHost(host: string): void;
   /**
-   * Drops the next matching answers; their requests were delivered. Returns a
-   * function that removes the rule, as do the two methods below.
+   * Drops the next `count` (1 by default) matching answers; their requests were
+   * delivered. Returns a function that removes the rule, as do the two methods
+   * below.
    */
   loseAnswers(predicate: MessagePredicate, count?: number): () => void;
-  /** Drops the next matching messages of any kind. */
+  /** Drops the next `count` (1 by default) matching messages of any kind. */
   loseMessages(predicate: MessagePredicate, count?: number): () => void;
-  /** Delays matching messages and those queued behind them. */
+  /**
+   * Delays the next `count` (by default all) matching messages, and with them
+   * the messages queued behind them.
+   */
   delayMessages(
     predicate: MessagePredicate,
     duration: Milliseconds,
--- a/packages/stand-ins/src/platform/platform_server.ts
+++ b/packages/stand-ins/src/platform/platform_server.ts
@@ -13,7 +13,10 @@
   findRoute,
 } from './platform_routes';
 
-/** Options of `startPlatformServer`. */
+/**
+ * Listen address, timer and initial faults of a platform server. By default it
+ * runs on real time without faults.
+ */
 export interface PlatformServerOptions {
   /** Listen address; port 0 selects a free port. */
   readonly address: Address;
@@ -21,7 +24,7 @@
   readonly faults?: Partial<PlatformFaults>;
 }
 
-/** A running platform server. */
+/** A platform server that listens until `stop`; `address` is the bound one. */
 export interface PlatformServer {
   readonly address: Address;
   /** The served platform, for tests in the same process. */
--- a/packages/stand-ins/src/statement_group/stand_in_group.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_group.ts
@@ -26,7 +26,10 @@
 import {createStandInTarget} from './stand_in_target';
 import type {StandInTarget} from './stand_in_target_types';
 
-/** Options of `createStandInGroup`. */
+/**
+ * Targets, capacity and fault injection of a group. The first target is the
+ * initial primary.
+ */
 export interface StandInGroupOptions {
   readonly timer: TimerService;
   readonly network: LinkNetwork;
@@ -39,14 +42,17 @@
   /** Time for which a new connection occupies a slot; 0 by default. */
   readonly openingTime?: Milliseconds;
   readonly promotionTime: Milliseconds;
-  /** Delay between receiving a record and applying it. */
+  /** Returns the delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
   /**
-   * Delay of the next pause, resume or demote command to a target. A delayed
-   * command is not answered; 0 executes and answers it immediately.
+   * Returns the delay of the next pause, resume or demote command to a target.
+   * A delayed command is not answered; 0 executes and answers it immediately.
    */
   orderDelay(): Milliseconds;
-  /** Called for each batch of requests; true drops its answers. */
+  /**
+   * Called for each executed batch of requests; returns true to drop its
+   * answers.
+   */
   losesAnswer(): boolean;
 }
 
@@ -68,8 +74,10 @@
     firstRequests?: readonly TargetRequest[],
   ): Future<Result<OpenedConnection, OpenFailure>>;
   /**
-   * Starts a promotion. Returns false if the target is not running or a higher
-   * epoch has been used before.
+   * Starts a promotion, which is dropped if the target stops or a higher epoch
+   * is used before it completes. Returns false if the target is not running or
+   * a higher epoch has been used before; returns true without a promotion if
+   * the target is the primary already.
    */
   promote(target: string, epoch: number, holder: string): boolean;
   /** Kills a target's process and closes its connections. */
@@ -135,7 +143,8 @@
   }
   targets.get(primaryName)?.becomePrimary(term);
 
-  // Sends the whole log at an interval to replicas that missed records.
+  // The primary sends its whole log to all other targets at an interval, for
+  // the case that they missed records.
   timer.every(CATCH_UP_INTERVAL_MS, () => {
     const primary = targets.get(primaryName);
     if (primary?.isRunning() && primary.role() === 'primary') {
@@ -155,8 +164,8 @@
       replica.follow(primary.term(), primary.log());
     }
     if (replica.receive(primary.term(), EMPTY_LOG_END, primary.log())) {
-      // Read now: if the message is delayed, it must not acknowledge records of
-      // a later term.
+      // The end is read now: a message that arrives late must not acknowledge
+      // records of a later term.
       const received = replica.received();
       network.deliver(replica.target, primary.target, () =>
         primary.acknowledge(received),
--- a/packages/stand-ins/src/statement_group/target_session.ts
+++ b/packages/stand-ins/src/statement_group/target_session.ts
@@ -12,14 +12,17 @@
   /** User of the connection; undefined if the proxy opened it for itself. */
   readonly user: string | undefined;
   readonly values: Map<string, string>;
-  /** Access and shape of prepared statements, by name. */
+  /**
+   * Access and shape of each prepared statement, separated by a space, by its
+   * name.
+   */
   readonly prepared: Map<string, string>;
   transaction: OpenTransaction | undefined;
   /** True if a statement of the open transaction has failed. */
   hasFailed: boolean;
 }
 
-/** An open transaction. */
+/** An open transaction; `writes` holds the ids of its write statements. */
 export interface OpenTransaction {
   readonly number: number;
   readonly isReadOnly: boolean;
@@ -42,7 +45,10 @@
   };
 }
 
-/** Returns the transaction state of a session. */
+/**
+ * Returns `failed` once a statement of the transaction has failed, otherwise
+ * `open` or `idle`.
+ */
 export function transactionStateOf(session: TargetSession): TransactionState {
   if (session.hasFailed) {
     return 'failed';
