--- a/packages/accounts/__tests__/quota_pool.spec.ts
+++ b/packages/accounts/__tests__/quota_pool.spec.ts
@@ -141,8 +141,8 @@
   test('grant nothing after the lease has expired', () => {
     const pool = createEmptyPool();
     pool.addLease({lender: 'a', part: 1, until: 1000}, 0);
-    expect(pool.lentPart(999)).toEqual(1);
-    expect(pool.lentPart(1000)).toEqual(0);
+    expect(pool.leasedShare(999)).toEqual(1);
+    expect(pool.leasedShare(1000)).toEqual(0);
     expect(pool.take(LIMIT, 60_000).kind).toEqual('refused');
   });
 
@@ -166,7 +166,7 @@
   });
 
   test('are dropped by a reset after a process suspension', () => {
-    const {reset, lentPart} = createPool();
+    const {reset, leasedShare: lentPart} = createPool();
     reset(10);
     expect(lentPart(10)).toEqual(0);
   });
--- a/packages/accounts/src/account_directory.ts
+++ b/packages/accounts/src/account_directory.ts
@@ -21,7 +21,7 @@
 /** Index of the accounts of one configuration by name and by key digest. */
 export interface AccountDirectory {
   /** The account with this key digest; undefined if there is none. */
-  holderOf(keyDigest: string): ClientAccount | undefined;
+  findByKey(keyDigest: string): ClientAccount | undefined;
   find(account: string): ClientAccount | undefined;
 }
 
@@ -38,7 +38,7 @@
     ),
   );
   return {
-    holderOf: digest => byKey.get(digest),
+    findByKey: digest => byKey.get(digest),
     find: account => byName.get(account),
   };
 }
--- a/packages/accounts/src/create_quota.ts
+++ b/packages/accounts/src/create_quota.ts
@@ -11,7 +11,7 @@
   type Milliseconds,
   type Runtime,
   type Task,
-  createSuspensionGuard,
+  createSuspensionDetector,
   settledFuture,
   sleep,
   waitFor,
@@ -51,7 +51,7 @@
   /** Proxies that may be coordinators, in the same order on all proxies. */
   candidates(): readonly QuotaPeer[];
   /** Number of proxies that share all quotas; undefined while it is unknown. */
-  fleetSize(): number | undefined;
+  proxyCount(): number | undefined;
   isUsable(peer: QuotaPeer): boolean;
   /**
    * Sends a request to another proxy; fails if it is unanswered after
@@ -79,7 +79,7 @@
   /** Registers the handlers for requests of other proxies. */
   serve(handlers: HandlerTable): void;
   /** Sum of the shares of all quotas leased to this proxy now, from 0 to 1. */
-  lentPart(): number;
+  leasedShare(): number;
 }
 
 /** Interval between renewals: several fit into the duration of a lease. */
@@ -126,7 +126,7 @@
   let knownProcessId = '';
   const pool = createQuotaPool({startAllowance: options.startAllowance});
   const shareLease = createShareLease();
-  const suspension = createSuspensionGuard(timer);
+  const suspension = createSuspensionDetector(timer);
   let hasGrantedLease = false;
   /** Exhausted coordinators by key `coordinator account`. */
   const exhausted = new Map<string, ExhaustedCoordinator>();
@@ -153,7 +153,7 @@
    * because leases may have expired meanwhile.
    */
   function checkedPool() {
-    if (suspension.hasSlept()) {
+    if (suspension.wasSuspended()) {
       pool.reset(timer.now());
     }
     return pool;
@@ -207,7 +207,7 @@
   }
 
   function* renewLease(): Task<boolean> {
-    const size = options.fleetSize();
+    const size = options.proxyCount();
     if (size === undefined) {
       return false;
     }
@@ -357,6 +357,6 @@
           return settledFuture(Ok({}));
         });
     },
-    lentPart: () => checkedPool().lentPart(timer.now()),
+    leasedShare: () => checkedPool().leasedShare(timer.now()),
   };
 }
--- a/packages/accounts/src/quota_pool.ts
+++ b/packages/accounts/src/quota_pool.ts
@@ -29,7 +29,7 @@
 export interface QuotaPool {
   addLease(lease: LeasedShare, now: Milliseconds): void;
   /** Share of all quotas that is leased now, from 0 to 1. */
-  lentPart(now: Milliseconds): number;
+  leasedShare(now: Milliseconds): number;
   /** Grants and counts one operation, or refuses it. */
   take(limit: VersionedLimit, now: Milliseconds): QuotaAnswer;
   /** Counts operations that ran without being granted. */
@@ -191,7 +191,7 @@
       updateLeasedShare();
       recordStart(lease);
     },
-    lentPart(now) {
+    leasedShare(now) {
       advance(now);
       return leasedShare;
     },
--- a/packages/bench/src/failover_gap/naive_failover.ts
+++ b/packages/bench/src/failover_gap/naive_failover.ts
@@ -16,7 +16,7 @@
   ProcessTable,
   StandInProcess,
   appendStatement,
-  askTarget,
+  probeTarget,
   connectToTarget,
   eventually,
   realClock,
@@ -98,7 +98,7 @@
   async function promoteMostAdvanced(): Promise<void> {
     const candidates = MEMBER_IDS.filter(id => id !== primary);
     const statuses = await Promise.all(
-      candidates.map(id => askTarget(addressOf(id))),
+      candidates.map(id => probeTarget(addressOf(id))),
     );
     const [mostAdvanced] = statuses
       .filter((status): status is TargetStatus => status !== undefined)
@@ -113,7 +113,7 @@
     while (!isStopping) {
       await sleep(POLL_INTERVAL_MS);
       const answer = await Promise.race([
-        askTarget(addressOf(primary)),
+        probeTarget(addressOf(primary)),
         sleep(POLL_INTERVAL_MS, undefined),
       ]);
       missedPolls = answer === undefined ? missedPolls + 1 : 0;
--- a/packages/bench/src/failover_gap/planned_changes.ts
+++ b/packages/bench/src/failover_gap/planned_changes.ts
@@ -94,7 +94,7 @@
   }
 
   for (let run = 0; run < runs; run++) {
-    const primary = await cluster.untilWhole();
+    const primary = await cluster.untilConverged();
     await load.untilConfirmed(ENTRY_COUNT_BEFORE);
     const startedAt = realClock.now();
     await commit([primary.id]);
--- a/packages/bench/src/failover_gap/primary_failures.ts
+++ b/packages/bench/src/failover_gap/primary_failures.ts
@@ -56,7 +56,7 @@
   const observingProxy = cluster.plans[0]?.name ?? '';
   const gaps: number[] = [];
   for (let run = 0; run < runs; run++) {
-    const primary = await cluster.untilWhole();
+    const primary = await cluster.untilConverged();
     await load.untilConfirmed(ENTRY_COUNT_BEFORE);
     const {child} = cluster.database(primary.id);
     const failedAt = realClock.now();
@@ -73,6 +73,6 @@
     }
   }
   await load.stop();
-  await cluster.untilWhole();
+  await cluster.untilConverged();
   return gaps;
 }
--- a/packages/bench/src/policies/named_policies.ts
+++ b/packages/bench/src/policies/named_policies.ts
@@ -1,6 +1,13 @@
 /** Policies that the bench compares, by name. */
-import {FIRST_COME_FIRST_SERVED, createNoLimit} from '@kelpstep/pool';
-import {RequestPolicies, readFromAny, readFromPrimary} from '@kelpstep/routing';
+import {
+  FIRST_COME_FIRST_SERVED,
+  createUnlimitedConcurrency,
+} from '@kelpstep/pool';
+import {
+  RequestPolicies,
+  readFromRandom,
+  readFromPrimary,
+} from '@kelpstep/routing';
 
 /** Overrides of the default policies, by name. */
 export const NAMED_POLICIES = {
@@ -8,10 +15,10 @@
   'first-come': {queue: FIRST_COME_FIRST_SERVED},
   'no-limit': {
     queue: FIRST_COME_FIRST_SERVED,
-    createConcurrencyLimit: createNoLimit,
+    createConcurrencyLimit: createUnlimitedConcurrency,
   },
   'read-primary': {read: readFromPrimary},
-  'read-any': {read: readFromAny},
+  'read-any': {read: readFromRandom},
 } as const satisfies Readonly<Record<string, Partial<RequestPolicies>>>;
 
 export type PolicyName = keyof typeof NAMED_POLICIES;
--- a/packages/bench/src/proxied_read/bench_processes.ts
+++ b/packages/bench/src/proxied_read/bench_processes.ts
@@ -2,7 +2,7 @@
 import {manifestCommit} from '@kelpstep/proxy';
 import {createHttpClient} from '@kelpstep/cli';
 import {callerRead} from '@kelpstep/protocol';
-import {freeAddresses} from '@kelpstep/stand-ins';
+import {findFreeAddresses} from '@kelpstep/stand-ins';
 import {ChildProcess, fork, spawn} from 'node:child_process';
 import {once} from 'node:events';
 import {mkdtempSync, readFileSync, rmSync, writeFileSync} from 'node:fs';
@@ -172,7 +172,7 @@
       ),
     ),
   );
-  const [callers = '', peers, operators = ''] = await freeAddresses(3);
+  const [callers = '', peers, operators = ''] = await findFreeAddresses(3);
   const settingsFile = join(directory, 'proxy.yaml');
   writeFileSync(
     settingsFile,
--- a/packages/bench/src/slopes/manifest_slope.ts
+++ b/packages/bench/src/slopes/manifest_slope.ts
@@ -1,6 +1,6 @@
 /** Measures the cost of manifests for the poller and for the relay, by size. */
 import {
-  createManifestKeeper,
+  createManifestSynchronizer,
   inspectManifest,
   manifestDigest,
 } from '@kelpstep/manifest';
@@ -84,7 +84,7 @@
   const timer = createVirtualTimer();
   const platform = createPlatform(timer);
   const runtime = createRuntime({timer, random: createRandom(1)});
-  const synchronizer = createManifestKeeper({
+  const synchronizer = createManifestSynchronizer({
     runtime,
     platform: createInProcessPlatformClient({platform, timer}),
     polls: () => true,
--- a/packages/bench/src/slopes/membership_slope.ts
+++ b/packages/bench/src/slopes/membership_slope.ts
@@ -7,7 +7,7 @@
   createIdempotentRequest,
   createMembership,
   createShortExchange,
-  proportionalPace,
+  proportionalTiming,
 } from '@kelpstep/membership';
 import {
   createHandlerTable,
@@ -98,18 +98,18 @@
         {length: SEED_PROXY_COUNT},
         (unusedItem, seed) => `${hostOf(seed)}:${PEER_PORT}`,
       ),
-      pacePolicy: (count, base) =>
-        proportionalPace(Math.max(count, timingProxyCount), base),
+      timingPolicy: (count, base) =>
+        proportionalTiming(Math.max(count, timingProxyCount), base),
       exchange: createShortExchange({
         runtime,
-        ask: sendRequest,
+        request: sendRequest,
         timeout: EXCHANGE_TIMEOUT_MS,
       }),
       hooks: {
         ready: () => true,
         manifestVersion: () => 1,
-        heardManifest: () => {},
-        heardLeadership({group, term}) {
+        onManifestVersion: () => {},
+        onLeadership({group, term}) {
           const isNewer = term > (terms.get(group) ?? 0);
           terms.set(group, Math.max(term, terms.get(group) ?? 0));
           return isNewer;
--- a/packages/bench/src/slopes/rank_slope.ts
+++ b/packages/bench/src/slopes/rank_slope.ts
@@ -40,8 +40,8 @@
     hooks: {
       ready: () => true,
       manifestVersion: () => 1,
-      heardManifest: () => {},
-      heardLeadership: () => false,
+      onManifestVersion: () => {},
+      onLeadership: () => false,
     },
   });
   const heapBefore = usedHeapBytes();
--- a/packages/bench/src/statements/simulate_statements.ts
+++ b/packages/bench/src/statements/simulate_statements.ts
@@ -1,5 +1,9 @@
 /** Simulates statement sessions under faults for the bench's result table. */
-import {type StatementFault, drawPair, playFaults} from '@kelpstep/scenarios';
+import {
+  type StatementFault,
+  drawFaultPair,
+  simulateFaults,
+} from '@kelpstep/scenarios';
 
 import type {Row} from '../report';
 
@@ -16,15 +20,15 @@
  */
 export function simulateStatements(simulation: StatementSimulation): Row {
   const {fault, seed, sessions} = simulation;
-  const faults = fault === 'pairs' ? drawPair(seed) : [fault];
-  const {counts, checker} = playFaults({seed, sessions, faults});
+  const faults = fault === 'pairs' ? drawFaultPair(seed) : [fault];
+  const {counts, checker} = simulateFaults({seed, sessions, faults});
   const [firstFinding] = checker.broken();
   return {
     seed,
     faults: faults.join(' + '),
     operations: counts.started,
     served: counts.served / counts.started,
-    commits: checker.acknowledged(),
+    commits: checker.acknowledgedCount(),
     broken:
       firstFinding === undefined
         ? ''
--- a/packages/cli/src/commands/audit.ts
+++ b/packages/cli/src/commands/audit.ts
@@ -1,6 +1,6 @@
 /** `kelpstep audit`: lists the audit trail. */
 import {AuditPage, auditKeyAt} from '@kelpstep/observability';
-import {LARGEST_AUDIT_PAGE, auditList} from '@kelpstep/proxy';
+import {MAXIMUM_AUDIT_PAGE_ROWS, auditList} from '@kelpstep/proxy';
 import type {Failure} from '@kelpstep/protocol';
 import type {Result} from 'ts-results';
 import type {Argv} from 'yargs';
@@ -20,7 +20,7 @@
   while (after !== undefined) {
     const page: Result<AuditPage, Failure> = await client.request(auditList, {
       after,
-      limit: LARGEST_AUDIT_PAGE,
+      limit: MAXIMUM_AUDIT_PAGE_ROWS,
     });
     if (page.err) {
       reportFailure(context, page.val);
--- a/packages/cli/src/commands/manifest.ts
+++ b/packages/cli/src/commands/manifest.ts
@@ -3,7 +3,7 @@
   DataIssue,
   Finding,
   Manifest,
-  checkSuccession,
+  checkManifestUpdate,
   formatFinding,
   hasErrors,
   inspectManifest,
@@ -48,7 +48,7 @@
   const {manifest, findings} = inspectManifest(text, previousFile);
   return manifest === undefined
     ? findings
-    : checkSuccession(manifest, next).map(locate);
+    : checkManifestUpdate(manifest, next).map(locate);
 }
 
 function addCheck(yargs: Argv, context: CommandContext): Argv {
--- a/packages/cli/src/demo/demo_cluster.ts
+++ b/packages/cli/src/demo/demo_cluster.ts
@@ -9,7 +9,7 @@
   proxyStatus,
   startDaemon,
 } from '@kelpstep/proxy';
-import {startEmbeddedStandIns, freeAddresses} from '@kelpstep/stand-ins';
+import {startEmbeddedStandIns, findFreeAddresses} from '@kelpstep/stand-ins';
 import {randomBytes, randomUUID} from 'node:crypto';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -160,7 +160,7 @@
       lag: REPLICATION_LAG_MS,
     },
   });
-  const addresses = await freeAddresses(2 * ADDRESSES_PER_PROXY);
+  const addresses = await findFreeAddresses(2 * ADDRESSES_PER_PROXY);
   const addressesA = addresses.slice(0, ADDRESSES_PER_PROXY);
   const addressesB = addresses.slice(ADDRESSES_PER_PROXY);
   const platform = standIns.platform.address;
--- a/packages/failover/__tests__/faults.spec.ts
+++ b/packages/failover/__tests__/faults.spec.ts
@@ -86,7 +86,7 @@
         ...[0, 1, 2].map(proxyHost),
       ];
       for (const host of hosts) {
-        cluster.network.silence(MEMBER_HOSTS[primary], host);
+        cluster.network.blackholeConnections(MEMBER_HOSTS[primary], host);
       }
       const silencedAt = cluster.timer.now();
       cluster.timer.advance(4000);
@@ -101,7 +101,7 @@
     const term = cluster.termOf(1);
     cluster.control(primary).configure({connectionLimit: 1});
     for (const proxy of [0, 1, 2].map(proxyHost)) {
-      cluster.network.silence(MEMBER_HOSTS[primary], proxy);
+      cluster.network.blackholeConnections(MEMBER_HOSTS[primary], proxy);
     }
     cluster.timer.advance(4000);
     expect(
@@ -120,7 +120,7 @@
     for (const seed of SEEDS) {
       const {cluster, primary} = startWriting(seed);
       const term = cluster.termOf(1);
-      cluster.network.cut(MEMBER_HOSTS[primary], proxyHost(0));
+      cluster.network.partition(MEMBER_HOSTS[primary], proxyHost(0));
       cluster.timer.advance(800);
       cluster.network.healAll();
       cluster.timer.advance(2000);
@@ -133,7 +133,7 @@
       const {cluster, primary, others} = startWriting(seed);
       const term = cluster.termOf(1);
       const [alone, near] = others;
-      cluster.network.cutGroups(
+      cluster.network.partitionGroups(
         [MEMBER_HOSTS[alone], proxyHost(0)],
         [primary, near].map(id => MEMBER_HOSTS[id]).concat(proxyHost(1)),
       );
@@ -150,7 +150,7 @@
       const {cluster, primary, others} = startWriting(seed);
       const term = cluster.termOf(1);
       // The second proxy is in the old primary's partition and writes to it.
-      cluster.network.cutGroups(
+      cluster.network.partitionGroups(
         [MEMBER_HOSTS[primary], proxyHost(1)],
         [...others.map(id => MEMBER_HOSTS[id]), proxyHost(0), proxyHost(2)],
       );
--- a/packages/failover/__tests__/group_view.spec.ts
+++ b/packages/failover/__tests__/group_view.spec.ts
@@ -83,7 +83,7 @@
 
   test('fails if the primary is in a minority partition', () => {
     const {cluster, primary, others} = startWriting();
-    cluster.network.cutGroups(
+    cluster.network.partitionGroups(
       [MEMBER_HOSTS[primary], proxyHost(1)],
       [...others.map(id => MEMBER_HOSTS[id]), proxyHost(0), proxyHost(2)],
     );
@@ -117,7 +117,7 @@
     const [near, far] = others;
     cluster.proxy(2).view.touch();
     cluster.timer.advance(500);
-    cluster.network.cutGroups(
+    cluster.network.partitionGroups(
       [MEMBER_HOSTS[near], proxyHost(2)],
       MEMBERS.filter(id => id !== near)
         .map(id => MEMBER_HOSTS[id])
@@ -194,7 +194,10 @@
       const oldSide = [MEMBER_HOSTS[primary], proxyHost(1)];
       const newSide = [MEMBER_HOSTS[right], proxyHost(0), proxyHost(2)];
       const term = cluster.termOf(1);
-      cluster.network.cutGroups(oldSide, [...newSide, MEMBER_HOSTS[left]]);
+      cluster.network.partitionGroups(oldSide, [
+        ...newSide,
+        MEMBER_HOSTS[left],
+      ]);
       cluster.awaitPrimary(2, term);
       cluster.startWriter(2);
       cluster.timer.advance(1000);
@@ -202,7 +205,7 @@
       // The member helped to confirm records of the new term. It now restarts
       // empty in the partition of the deposed primary.
       cluster.network.killHost(MEMBER_HOSTS[left]);
-      cluster.network.cutGroups([MEMBER_HOSTS[left]], newSide);
+      cluster.network.partitionGroups([MEMBER_HOSTS[left]], newSide);
       oldSide.forEach(host => cluster.network.heal(host, MEMBER_HOSTS[left]));
       cluster.startMember(left);
       const before = cluster.confirmed.length;
--- a/packages/failover/__tests__/lost_primary.spec.ts
+++ b/packages/failover/__tests__/lost_primary.spec.ts
@@ -76,7 +76,7 @@
   test('when it is partitioned from all members and proxies', () => {
     checkFailover(
       ({network}, primary) =>
-        network.cutGroups(
+        network.partitionGroups(
           [MEMBER_HOSTS[primary]],
           [...hostsOf(othersOf(primary)), ...[0, 1, 2].map(proxyHost)],
         ),
@@ -87,7 +87,10 @@
   test('when it is partitioned from its group but not from the proxies', () => {
     checkFailover(
       ({network}, primary) =>
-        network.cutGroups([MEMBER_HOSTS[primary]], hostsOf(othersOf(primary))),
+        network.partitionGroups(
+          [MEMBER_HOSTS[primary]],
+          hostsOf(othersOf(primary)),
+        ),
       ({network}) => network.healAll(),
     );
   });
@@ -95,7 +98,7 @@
   test('when it is partitioned together with the first proxy', () => {
     checkFailover(
       ({network}, primary) =>
-        network.cutGroups(
+        network.partitionGroups(
           [MEMBER_HOSTS[primary], proxyHost(0)],
           [...hostsOf(othersOf(primary)), proxyHost(1), proxyHost(2)],
         ),
--- a/packages/failover/__tests__/members.spec.ts
+++ b/packages/failover/__tests__/members.spec.ts
@@ -91,7 +91,7 @@
       cluster.timer.advance(3000);
       commitManifest(cluster, 3, ['b', 'c', 'd'], [1, 2]);
       cluster.timer.advance(3000);
-      cluster.network.cutGroups(
+      cluster.network.partitionGroups(
         [...hostsOf(['a', 'b']), proxyHost(0)],
         [...hostsOf(['c', 'd']), proxyHost(1), proxyHost(2)],
       );
@@ -207,7 +207,7 @@
       cluster.settle(() => {
         const isWritten = configurationAt(cluster, primary) === 'abcd';
         if (isWritten) {
-          cluster.network.cutGroups(
+          cluster.network.partitionGroups(
             [MEMBER_HOSTS[primary]],
             hostsOf([...others, 'd']),
           );
@@ -252,7 +252,7 @@
       commitManifest(cluster, 2, ['a', 'b', 'c', 'd']);
       awaitConfiguration(cluster, 'abcd', ['a', 'b', 'c', 'd']);
       // The partitioned primary and proxy don't learn of its removal.
-      cluster.network.cutGroups(
+      cluster.network.partitionGroups(
         [MEMBER_HOSTS.a, proxyHost(0)],
         [...hostsOf(['b', 'c', 'd']), proxyHost(1), proxyHost(2)],
       );
--- a/packages/failover/__tests__/probe_intervals.spec.ts
+++ b/packages/failover/__tests__/probe_intervals.spec.ts
@@ -132,7 +132,7 @@
   test('gets another primary within 6 s when replicas lose contact with the old one', () => {
     checkReplaced(LARGE_SYSTEM_LIMIT_MS, (cluster, primary) => {
       const others = MEMBERS.filter(id => id !== primary);
-      cluster.network.cutGroups(
+      cluster.network.partitionGroups(
         [MEMBER_HOSTS[primary]],
         others.map(id => MEMBER_HOSTS[id]),
       );
--- a/packages/failover/__tests__/promoters.spec.ts
+++ b/packages/failover/__tests__/promoters.spec.ts
@@ -125,7 +125,7 @@
       // The member that gets the late request lacks confirmed records.
       const candidate = MEMBERS.find(id => MEMBER_HOSTS[id] === late[0]);
       expect(candidate).not.toEqual(next);
-      cluster.network.cutGroups(
+      cluster.network.partitionGroups(
         late,
         MEMBERS.map(id => MEMBER_HOSTS[id]).filter(host => host !== late[0]),
       );
--- a/packages/failover/src/connection_setup.ts
+++ b/packages/failover/src/connection_setup.ts
@@ -8,7 +8,7 @@
   Transport,
   TransportError,
 } from '@kelpstep/rpc';
-import {Milliseconds, Task, waitAtMost} from '@kelpstep/runtime';
+import {Milliseconds, Task, waitWithTimeout} from '@kelpstep/runtime';
 import {Err, Result} from 'ts-results';
 
 const DIAL_TIMEOUT: TransportError = {
@@ -44,7 +44,7 @@
   const dialling = transport.dial(address, timeout);
   let outcome: Result<Connection, TransportError> | undefined;
   try {
-    outcome = yield* waitAtMost(dialling, timeout);
+    outcome = yield* waitWithTimeout(dialling, timeout);
   } finally {
     if (outcome === undefined) {
       dialling.onSettled(late => {
@@ -64,7 +64,7 @@
 ): Task<Result<TargetStatus, RequestFailure>> {
   let ended = false;
   try {
-    const answer = yield* waitAtMost(
+    const answer = yield* waitWithTimeout(
       peer.request(targetStatus, {}, timeout),
       timeout,
     );
--- a/packages/failover/src/failure_detector.ts
+++ b/packages/failover/src/failure_detector.ts
@@ -9,7 +9,7 @@
   Task,
   TaskHandle,
   createMailbox,
-  receiveAtMost,
+  receiveWithTimeout,
 } from '@kelpstep/runtime';
 
 import {
@@ -102,7 +102,7 @@
   function* monitor(): Task<never> {
     let pause: Milliseconds = 0;
     for (;;) {
-      yield* receiveAtMost(wakeups, pause);
+      yield* receiveWithTimeout(wakeups, pause);
       const rank = options.rank();
       const problem = rank === undefined ? undefined : detectProblem();
       pause = timings.monitorInterval;
--- a/packages/failover/src/group_directory.ts
+++ b/packages/failover/src/group_directory.ts
@@ -26,7 +26,7 @@
    * group. Must be called when the live proxies or the platform's list of
    * instances change.
    */
-  reviewWatching(): void;
+  updateMonitoring(): void;
   close(): void;
 }
 
@@ -110,7 +110,7 @@
     learnLeadership: ({group, term, primary}) =>
       views.get(group)?.learnLeadership({term, primary}),
     leaderships,
-    reviewWatching: updateMonitoring,
+    updateMonitoring,
     close() {
       monitoringUpdate?.cancel();
       views.forEach(view => view.close());
--- a/packages/failover/src/group_view.ts
+++ b/packages/failover/src/group_view.ts
@@ -94,7 +94,7 @@
    * Reports that a member did not answer a request, which starts a check of its
    * control connection.
    */
-  observeSilence(memberId: string): void;
+  reportUnresponsive(memberId: string): void;
   /**
    * Calls the listener when the leadership, or the reachability, role, term or
    * followed primary of a member, has changed.
--- a/packages/failover/src/managed_group_view.ts
+++ b/packages/failover/src/managed_group_view.ts
@@ -294,7 +294,7 @@
       state.observeTerm(term);
       rounds.refresh();
     },
-    observeSilence: memberId => state.link(memberId)?.suspect(),
+    reportUnresponsive: memberId => state.link(memberId)?.suspect(),
     onChange: state.onTopologyChange,
     updateGroup(group, manifestVersion = 0) {
       state.setGroup(group, manifestVersion);
--- a/packages/failover/src/member_requests.ts
+++ b/packages/failover/src/member_requests.ts
@@ -5,7 +5,7 @@
   TimerService,
   Task,
   createMailbox,
-  receiveAtMost,
+  receiveWithTimeout,
 } from '@kelpstep/runtime';
 
 import type {MemberLink} from './member_link';
@@ -46,7 +46,7 @@
   const deadline = timer.now() + timeout;
   const replies: Array<MemberReply<R>> = [];
   while (replies.length < links.length) {
-    const reply = yield* receiveAtMost(mailbox, deadline - timer.now());
+    const reply = yield* receiveWithTimeout(mailbox, deadline - timer.now());
     if (reply === undefined) {
       break;
     }
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -17,7 +17,7 @@
   Milliseconds,
   Runtime,
   Task,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 
@@ -194,7 +194,10 @@
   const deadline = runtime.timer.now() + timings.barrierTimeout;
   const pending = state.waiters.wait(barrier, deadline);
   for (;;) {
-    const confirmation = yield* waitAtMost(pending, timings.monitorInterval);
+    const confirmation = yield* waitWithTimeout(
+      pending,
+      timings.monitorInterval,
+    );
     if (confirmation !== undefined) {
       return confirmation;
     }
--- a/packages/failover/src/read_rounds.ts
+++ b/packages/failover/src/read_rounds.ts
@@ -13,7 +13,7 @@
   Unsubscribe,
   createDeferred,
   createMailbox,
-  receiveAtMost,
+  receiveWithTimeout,
 } from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
@@ -119,7 +119,7 @@
         .onSettled(answer => mailbox.post(answer));
     }
     for (let remaining = links.length; remaining > 0; remaining--) {
-      const answer = yield* receiveAtMost(mailbox, deadline - timer.now());
+      const answer = yield* receiveWithTimeout(mailbox, deadline - timer.now());
       if (answer === undefined) {
         return undefined;
       }
--- a/packages/failover/src/reconnect_backoff.ts
+++ b/packages/failover/src/reconnect_backoff.ts
@@ -1,5 +1,5 @@
 /** Computes the backoff between attempts to connect to a member. */
-import {type Milliseconds, type Random, retryPause} from '@kelpstep/runtime';
+import {type Milliseconds, type Random, retryBackoff} from '@kelpstep/runtime';
 
 import type {FailoverTimings} from './timings';
 
@@ -13,5 +13,5 @@
   random: Random,
 ): Milliseconds {
   const {reconnectDelay: first, reconnectDelayLimit: longest} = timings;
-  return retryPause({first, longest}, failures, random);
+  return retryBackoff({first, longest}, failures, random);
 }
--- a/packages/failover/src/switch_over.ts
+++ b/packages/failover/src/switch_over.ts
@@ -4,7 +4,12 @@
  * for only a few round trips.
  */
 import {TargetStatus, logContains, targetPauseWrites} from '@kelpstep/protocol';
-import {Task, createDeferred, waitAtMost, waitFor} from '@kelpstep/runtime';
+import {
+  Task,
+  createDeferred,
+  waitWithTimeout,
+  waitFor,
+} from '@kelpstep/runtime';
 
 import type {Leadership} from './group_view';
 import type {MemberLink} from './member_link';
@@ -139,7 +144,10 @@
   const unsubscribe = state.onChange(check);
   try {
     check();
-    const result = yield* waitAtMost(reached.future, timings.successorTimeout);
+    const result = yield* waitWithTimeout(
+      reached.future,
+      timings.successorTimeout,
+    );
     return result === true;
   } finally {
     unsubscribe();
--- a/packages/gateway/__tests__/peer_order.spec.ts
+++ b/packages/gateway/__tests__/peer_order.spec.ts
@@ -1,5 +1,5 @@
 import {createRandom} from '@kelpstep/runtime';
-import type {PresentProxy} from '@kelpstep/table-feed';
+import type {ProxyDescriptor} from '@kelpstep/table-feed';
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
@@ -14,7 +14,11 @@
 const USUAL_TIME_MS = 25;
 const SLOW_TIME_MS = 900;
 
-function peer(proxy: string, dataCentre: string, region: string): PresentProxy {
+function peer(
+  proxy: string,
+  dataCentre: string,
+  region: string,
+): ProxyDescriptor {
   return {proxy, dataCentre, region, address: proxy, relayAddress: proxy};
 }
 
@@ -29,9 +33,9 @@
   ];
   const from = {dataCentre: 'a', region: 'north'};
 
-  function orders(isSlow: (candidate: PresentProxy) => boolean): string[][] {
+  function orders(isSlow: (candidate: ProxyDescriptor) => boolean): string[][] {
     const random = createRandom(1);
-    const rankOf = (candidate: PresentProxy): PeerRank => ({
+    const rankOf = (candidate: ProxyDescriptor): PeerRank => ({
       roundTrip: roundTripBetween(from, candidate),
       isSlow: isSlow(candidate),
     });
--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -139,7 +139,7 @@
     if (route === undefined) {
       return deny('noDatabase');
     }
-    const account = accounts?.holderOf(keyDigest);
+    const account = accounts?.findByKey(keyDigest);
     if (accounts === undefined || route.isPublic) {
       return {kind: 'admitted', route, account};
     }
@@ -168,7 +168,7 @@
       (current.accounts ?? []).some(({quota}) => quota !== undefined),
     admit,
     trustedAccount: keyDigest =>
-      options.mayTrustKeys() ? accounts?.holderOf(keyDigest)?.name : undefined,
+      options.mayTrustKeys() ? accounts?.findByKey(keyDigest)?.name : undefined,
     accept(configuration) {
       if (current !== undefined && configuration.version <= current.version) {
         return false;
--- a/packages/gateway/src/create_gateway.ts
+++ b/packages/gateway/src/create_gateway.ts
@@ -13,7 +13,7 @@
 } from '@kelpstep/statements';
 import {
   type GroupSettings,
-  TICK_PERIOD,
+  TICK_PERIOD_MS,
   type TargetGroup,
   type TargetGroupEvents,
   type TargetRegistration,
@@ -159,7 +159,7 @@
   });
   const relay = options.createRelay(local, () => isStopping);
   const {dispatcher} = relay;
-  const stopTicks = timer.every(TICK_PERIOD, () => {
+  const stopTicks = timer.every(TICK_PERIOD_MS, () => {
     for (const {group} of groups.values()) {
       group.tick();
       local.observePrimary(group);
@@ -184,7 +184,8 @@
       readStatus: options.readStatus,
       policies: options.policies,
       events: options.groupEvents(name),
-      holders: () => options.ownerCount(configuration.group(name) ?? settings),
+      ownerCount: () =>
+        options.ownerCount(configuration.group(name) ?? settings),
     });
     const monitor = options.monitorPrimary(group);
     groups.set(name, {group, monitor, lastNeededAt: timer.now()});
--- a/packages/gateway/src/create_statement_proxy.ts
+++ b/packages/gateway/src/create_statement_proxy.ts
@@ -23,15 +23,15 @@
 } from '@kelpstep/statements';
 import {
   type OrderPromotion,
-  SUCCESSION_PREFIX,
+  SUCCESSION_KEY_PREFIX,
   type SuccessionEvents,
-  type SuccessionWatch,
+  type SuccessionMonitor,
   type VersionedSuccession,
   successionSchema,
-  watchSuccession,
+  startSuccessionMonitor,
 } from '@kelpstep/succession';
 import {
-  type PresentProxy,
+  type ProxyDescriptor,
   type TableAge,
   type TableFeedEvents,
   createTableFeed,
@@ -102,7 +102,7 @@
 /** What a statement proxy is made of: store, transport, targets and limits. */
 export interface StatementProxyOptions {
   readonly runtime: Runtime;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   /**
    * Capacity relative to other proxies: those with more capacity become
    * distributors sooner.
@@ -112,7 +112,7 @@
   readonly transport: Transport;
   readonly store: TableStore;
   readonly layout: StoreLayout;
-  readonly delays: StalenessBounds;
+  readonly stalenessBounds: StalenessBounds;
   /** Tolerated excess over quotas at the start; undefined if there is none. */
   readonly quotaTolerance?: QuotaTolerance | undefined;
   readonly open: OpenTargetConnection;
@@ -130,7 +130,7 @@
   /** Ages of the local copies of the store's tables. */
   tableAges(): readonly TableAge[];
   /** Sum of the shares of all quotas leased to this proxy now, from 0 to 1. */
-  quotaPart(): number;
+  quotaShare(): number;
   /** Stops serving, and closes the connections of other proxies. */
   close(): void;
 }
@@ -171,8 +171,15 @@
 export function createStatementProxy(
   options: StatementProxyOptions,
 ): StatementProxy {
-  const {runtime, self, store, layout, delays, events, orderPromotion} =
-    options;
+  const {
+    runtime,
+    self,
+    store,
+    layout,
+    stalenessBounds: delays,
+    events,
+    orderPromotion,
+  } = options;
   const {timer} = runtime;
   const rows = new Map<string, ObservedSuccession>();
   const reportedFindings = new Set<string>();
@@ -186,7 +193,7 @@
   });
 
   function hasAnsweredRecently(link: TargetLink): boolean {
-    const age = timer.now() - link.lastAskedAt();
+    const age = timer.now() - link.lastContactAt();
     return link.isReached() && age < PRIMARY_ANSWER_WINDOW_MS;
   }
 
@@ -210,8 +217,8 @@
     return feed.age(layout.configurationTable) <= revocation;
   }
 
-  function monitorPrimary(group: TargetGroup): SuccessionWatch {
-    return watchSuccession({
+  function monitorPrimary(group: TargetGroup): SuccessionMonitor {
+    return startSuccessionMonitor({
       runtime,
       group,
       store,
@@ -242,7 +249,7 @@
     startAllowance: createStartAllowance(options.quotaTolerance),
     candidates: () =>
       feed.distributors().filter(({relayAddress}) => relayAddress !== ''),
-    fleetSize,
+    proxyCount: fleetSize,
     isUsable: ({relayAddress}) => relay?.isUsable(relayAddress) ?? false,
     request: ({relayAddress}, method, parameters, timeout) =>
       relay?.request(relayAddress, method, parameters, timeout) ??
@@ -315,20 +322,20 @@
   }
 
   function applySuccession(key: string, {value, version}: StoredRow): void {
-    const name = key.slice(SUCCESSION_PREFIX.length);
+    const name = key.slice(SUCCESSION_KEY_PREFIX.length);
     const parsed = successionSchema.safeParse(value);
     if (!parsed.success || rows.get(name)?.version === version) {
       return;
     }
     rows.set(name, {succession: parsed.data, version, observedAt: timer.now()});
     const group = gateway.group(name);
-    void group?.link(parsed.data.target)?.askStatus();
-    group?.changes.give();
+    void group?.link(parsed.data.target)?.probeStatus();
+    group?.changes.notify();
   }
 
   function applySuccessions(tableRows: TableRows): void {
     for (const [key, row] of tableRows) {
-      if (key.startsWith(SUCCESSION_PREFIX)) {
+      if (key.startsWith(SUCCESSION_KEY_PREFIX)) {
         applySuccession(key, row);
       }
     }
@@ -345,17 +352,17 @@
     tables: [
       {
         table: layout.configurationTable,
-        knownWithin: delays.configuration,
+        stalenessBound: delays.configuration,
         onRows: applyConfiguration,
       },
       {
         table: layout.registrationTable,
-        knownWithin: delays.registrations,
+        stalenessBound: delays.registrations,
         onRows: applyRegistrations,
       },
       {
         table: layout.successionTable,
-        knownWithin: SUCCESSION_STALENESS_BOUND_MS,
+        stalenessBound: SUCCESSION_STALENESS_BOUND_MS,
         onRows: applySuccessions,
       },
     ],
@@ -370,7 +377,7 @@
   return {
     gateway,
     tableAges: feed.ages,
-    quotaPart: quota.lentPart,
+    quotaShare: quota.leasedShare,
     close,
   };
 }
--- a/packages/gateway/src/dispatch.ts
+++ b/packages/gateway/src/dispatch.ts
@@ -19,7 +19,7 @@
 import type {
   PinnedStart,
   StatementOutcome,
-  StatementWork,
+  StatementRequest,
   TargetGroup,
   TargetLink,
 } from '@kelpstep/targets';
@@ -116,7 +116,7 @@
     request: DispatchRequest,
     after: LogPosition | undefined,
     onSent: () => void,
-  ): StatementWork {
+  ): StatementRequest {
     const {id, route, statement, shape, settings} = request;
     const isBegin = statement.kind === 'begin';
     return {
@@ -329,7 +329,7 @@
     progress.reason = error.name;
     if (error.name === 'readOnly') {
       group.positions.dismissLeader(link.target);
-      void link.askStatus();
+      void link.probeStatus();
     }
     const mayRetry =
       RETRYABLE.has(error.name) ||
--- a/packages/gateway/src/hedged_attempt.ts
+++ b/packages/gateway/src/hedged_attempt.ts
@@ -9,7 +9,7 @@
   type Task,
   type TimerService,
   createDeferred,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import type {PinnedStart} from '@kelpstep/targets';
@@ -107,7 +107,7 @@
     const sentAt = options.sentAt();
     const hedgeAt = sentAt === undefined ? Infinity : sentAt + hedgeDelay;
     const pause = Math.min(SENT_POLL_INTERVAL_MS, hedgeAt - timer.now());
-    const end = yield* waitAtMost(first, Math.max(0, pause));
+    const end = yield* waitWithTimeout(first, Math.max(0, pause));
     if (end !== undefined) {
       return end;
     }
--- a/packages/gateway/src/relay/connection_owners.ts
+++ b/packages/gateway/src/relay/connection_owners.ts
@@ -9,15 +9,15 @@
   createCandidateSet,
   pickResponsible,
 } from '@kelpstep/membership';
-import type {PresentProxy} from '@kelpstep/table-feed';
-import {type GroupSettings, mostHolders} from '@kelpstep/targets';
+import type {ProxyDescriptor} from '@kelpstep/table-feed';
+import {type GroupSettings, maximumOwnerCount} from '@kelpstep/targets';
 
 export interface ConnectionOwnersOptions {
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   /**
    * Running proxies, as a new array after each change; undefined while unknown.
    */
-  live(): readonly PresentProxy[] | undefined;
+  live(): readonly ProxyDescriptor[] | undefined;
   /**
    * Relay addresses that have been unreachable for some time; a new set after
    * each change. Other proxies replace these as connection owners long before
@@ -42,13 +42,13 @@
   /**
    * The group's connection owners to relay statements to, without this proxy.
    */
-  otherOwners(settings: GroupSettings): readonly PresentProxy[];
+  otherOwners(settings: GroupSettings): readonly ProxyDescriptor[];
 }
 
 interface OwnerSelection {
   readonly count: number;
   readonly isOwner: boolean;
-  readonly otherOwners: readonly PresentProxy[];
+  readonly otherOwners: readonly ProxyDescriptor[];
 }
 
 /**
@@ -59,10 +59,10 @@
   options: ConnectionOwnersOptions,
 ): ConnectionOwners {
   const {self} = options;
-  let selectedFrom: readonly PresentProxy[] | undefined;
+  let selectedFrom: readonly ProxyDescriptor[] | undefined;
   let selectedWithout: ReadonlySet<string> | undefined;
-  let reachable: readonly PresentProxy[] = [];
-  let candidates: CandidateSet<PresentProxy> | undefined;
+  let reachable: readonly ProxyDescriptor[] = [];
+  let candidates: CandidateSet<ProxyDescriptor> | undefined;
   const selections = new Map<string, OwnerSelection>();
 
   function selectOwners(group: string, maximum: number): OwnerSelection {
@@ -95,7 +95,7 @@
       candidates = undefined;
       selections.clear();
     }
-    const maximum = mostHolders(connectionLimit);
+    const maximum = maximumOwnerCount(connectionLimit);
     const key = `${group} ${maximum}`;
     const selection = selections.get(key) ?? selectOwners(group, maximum);
     selections.set(key, selection);
--- a/packages/gateway/src/relay/create_relay.ts
+++ b/packages/gateway/src/relay/create_relay.ts
@@ -2,7 +2,7 @@
  * Wires the relay, which runs this proxy's statements through peers and the
  * peers' statements here.
  */
-import type {PresentProxy} from '@kelpstep/table-feed';
+import type {ProxyDescriptor} from '@kelpstep/table-feed';
 import {
   type HandlerTable,
   type Transport,
@@ -23,7 +23,7 @@
 export interface RelayOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   readonly local: LocalDispatcher;
   readonly connectionOwners: ConnectionOwners;
   readonly events: GatewayEvents;
@@ -65,7 +65,7 @@
     registerHandlers: options.registerHandlers,
   });
 
-  function peers(group: string): readonly PresentProxy[] {
+  function peers(group: string): readonly ProxyDescriptor[] {
     const settings = options.settings(group);
     return settings === undefined ? [] : connectionOwners.otherOwners(settings);
   }
--- a/packages/gateway/src/relay/peer_order.ts
+++ b/packages/gateway/src/relay/peer_order.ts
@@ -1,8 +1,8 @@
 /** The order in which peers are tried. */
 import type {Milliseconds, Random} from '@kelpstep/runtime';
-import type {PresentProxy} from '@kelpstep/table-feed';
+import type {ProxyDescriptor} from '@kelpstep/table-feed';
 
-export type ProxyLocation = Pick<PresentProxy, 'dataCentre' | 'region'>;
+export type ProxyLocation = Pick<ProxyDescriptor, 'dataCentre' | 'region'>;
 
 /** Round trips by distance; only their order of magnitude matters. */
 const SAME_DATA_CENTRE_ROUND_TRIP_MS: Milliseconds = 1;
@@ -23,9 +23,9 @@
 }
 
 function sortBy(
-  peers: readonly PresentProxy[],
-  rankOf: (peer: PresentProxy) => number,
-): PresentProxy[] {
+  peers: readonly ProxyDescriptor[],
+  rankOf: (peer: ProxyDescriptor) => number,
+): ProxyDescriptor[] {
   return peers
     .map(peer => ({peer, rank: rankOf(peer)}))
     .sort((left, right) => left.rank - right.rank)
@@ -35,8 +35,8 @@
 /** Shuffles the peers, so that the first ones represent all data centres. */
 export function inRandomOrder(
   random: Random,
-  peers: readonly PresentProxy[],
-): PresentProxy[] {
+  peers: readonly ProxyDescriptor[],
+): ProxyDescriptor[] {
   return sortBy(peers, () => random.fraction());
 }
 
@@ -56,9 +56,9 @@
  */
 export function nearestFirst(
   random: Random,
-  peers: readonly PresentProxy[],
-  rankOf: (peer: PresentProxy) => PeerRank,
-): PresentProxy[] {
+  peers: readonly ProxyDescriptor[],
+  rankOf: (peer: ProxyDescriptor) => PeerRank,
+): ProxyDescriptor[] {
   return sortBy(peers, peer => {
     const {roundTrip, isSlow} = rankOf(peer);
     return roundTrip + random.fraction() + (isSlow ? SLOW_PEER_PENALTY_MS : 0);
--- a/packages/gateway/src/relay/peer_reachability.ts
+++ b/packages/gateway/src/relay/peer_reachability.ts
@@ -6,10 +6,10 @@
 import {
   type Future,
   type Milliseconds,
-  type RetryPauseBounds,
+  type RetryBackoffBounds,
   type Runtime,
   type Task,
-  retryPause,
+  retryBackoff,
   sleep,
   waitFor,
 } from '@kelpstep/runtime';
@@ -45,7 +45,7 @@
  * restarting proxy is back soon, and allows about two attempts per second to a
  * proxy that is partitioned or stopped.
  */
-const RETRY_BACKOFF: RetryPauseBounds = {first: 100, longest: 500};
+const RETRY_BACKOFF: RetryBackoffBounds = {first: 100, longest: 500};
 /**
  * Time after which another proxy replaces an unreachable connection owner. A
  * killed process restarts within about a second.
@@ -84,7 +84,7 @@
     since: Milliseconds,
   ): Task<void> {
     for (let failures = 0; isLive(address); failures++) {
-      yield* sleep(retryPause(RETRY_BACKOFF, failures, random));
+      yield* sleep(retryBackoff(RETRY_BACKOFF, failures, random));
       if (yield* waitFor(sendHeartbeat(address))) {
         break;
       }
--- a/packages/gateway/src/relay/primary_check.ts
+++ b/packages/gateway/src/relay/primary_check.ts
@@ -2,7 +2,7 @@
  * Checks through peers whether a group's primary is reachable, so that a proxy
  * that is partitioned from the primary doesn't consider it lost.
  */
-import type {PresentProxy} from '@kelpstep/table-feed';
+import type {ProxyDescriptor} from '@kelpstep/table-feed';
 import {type Runtime, type Task, waitFor} from '@kelpstep/runtime';
 
 import {inRandomOrder} from './peer_order';
@@ -12,7 +12,7 @@
   readonly runtime: Runtime;
   readonly client: RelayClient;
   /** The group's connection owners, without this proxy. */
-  peers(group: string): readonly PresentProxy[];
+  peers(group: string): readonly ProxyDescriptor[];
 }
 
 /**
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -14,7 +14,7 @@
   type Task,
   mapFuture,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import type {SessionStatement, TargetRequest} from '@kelpstep/statements';
@@ -265,7 +265,7 @@
   ): Task<Result<RelayResult, RequestFailure>> {
     let hasNotified = false;
     for (;;) {
-      const result = yield* waitAtMost(reply, ABANDON_CHECK_INTERVAL_MS);
+      const result = yield* waitWithTimeout(reply, ABANDON_CHECK_INTERVAL_MS);
       if (result !== undefined) {
         return result;
       }
--- a/packages/gateway/src/relay/relaying_dispatcher.ts
+++ b/packages/gateway/src/relay/relaying_dispatcher.ts
@@ -3,7 +3,7 @@
  * connection owner of the group, through a connection owner otherwise. A
  * connection owner without an available target tries its peers as well.
  */
-import type {PresentProxy} from '@kelpstep/table-feed';
+import type {ProxyDescriptor} from '@kelpstep/table-feed';
 import type {Milliseconds, Runtime, Task} from '@kelpstep/runtime';
 import {errorAnswer} from '@kelpstep/statements';
 
@@ -34,7 +34,7 @@
   /** True if this proxy is a connection owner of the group. */
   ownsConnections(group: string): boolean;
   /** The group's connection owners, without this proxy. */
-  peers(group: string): readonly PresentProxy[];
+  peers(group: string): readonly ProxyDescriptor[];
 }
 
 /**
@@ -66,12 +66,12 @@
     return `${route.group} ${needsPrimary ? 'primary' : 'any'}`;
   }
 
-  function keyOf({proxy}: PresentProxy, request: DispatchRequest): string {
+  function keyOf({proxy}: ProxyDescriptor, request: DispatchRequest): string {
     return `${workloadOf(request)} ${proxy}`;
   }
 
   function toMeasuredPeer(
-    peer: PresentProxy,
+    peer: ProxyDescriptor,
     request: DispatchRequest,
   ): MeasuredPeer {
     const roundTrip = roundTripBetween(location, peer);
@@ -79,29 +79,29 @@
   }
 
   function hasRefusedRecently(
-    peer: PresentProxy,
+    peer: ProxyDescriptor,
     request: DispatchRequest,
   ): boolean {
     const at = refusedAt.get(keyOf(peer, request)) ?? -Infinity;
     return timer.now() - at < REFUSAL_BACKOFF_MS;
   }
 
-  function isUsable({relayAddress}: PresentProxy): boolean {
+  function isUsable({relayAddress}: ProxyDescriptor): boolean {
     return client.isUsable(relayAddress);
   }
 
-  function usablePeers(request: DispatchRequest): PresentProxy[] {
+  function usablePeers(request: DispatchRequest): ProxyDescriptor[] {
     const usable = options.peers(request.route.group).filter(isUsable);
     return nearestFirst(random, usable, peer => rankOf(peer, request));
   }
 
-  function rankOf(peer: PresentProxy, request: DispatchRequest): PeerRank {
+  function rankOf(peer: ProxyDescriptor, request: DispatchRequest): PeerRank {
     const measured = toMeasuredPeer(peer, request);
     const isSlow = latency.isSlow(measured, timer.now());
     return {roundTrip: measured.roundTrip, isSlow};
   }
 
-  function peersToTry(request: DispatchRequest): PresentProxy[] {
+  function peersToTry(request: DispatchRequest): ProxyDescriptor[] {
     return usablePeers(request).filter(
       peer => !hasRefusedRecently(peer, request),
     );
@@ -112,7 +112,7 @@
   }
 
   function* dispatchTo(
-    peer: PresentProxy,
+    peer: ProxyDescriptor,
     request: DispatchRequest,
     mayWait: boolean,
   ): Task<RelayOutcome> {
@@ -142,7 +142,7 @@
    */
   function* tryPeers(
     request: DispatchRequest,
-    peers: readonly PresentProxy[],
+    peers: readonly ProxyDescriptor[],
     mayWait: boolean,
   ): Task<DispatchResult | undefined> {
     let refusal: DispatchResult | undefined;
@@ -171,7 +171,7 @@
   }
 
   function unansweredResult(
-    {proxy}: PresentProxy,
+    {proxy}: ProxyDescriptor,
     name: 'inDoubt' | 'timedOut',
   ): DispatchResult {
     const answer = errorAnswer(name, 'idle');
--- a/packages/gateway/src/select_read_target.ts
+++ b/packages/gateway/src/select_read_target.ts
@@ -47,7 +47,7 @@
     return EXCLUSION_TIME_MS;
   }
   const lacks = compareLogPositions(log.position, position) < 0;
-  const isCurrent = now - log.askedAt < EXCLUSION_TIME_MS;
+  const isCurrent = now - log.requestedAt < EXCLUSION_TIME_MS;
   return lacks && isCurrent ? Infinity : 0;
 }
 
@@ -66,7 +66,7 @@
 function costOf(criteria: ReadTargetCriteria, link: TargetLink): Milliseconds {
   const time = link.expectedTime(criteria.kind) + (link.roundTrip() ?? 0);
   const isPrimary = link === criteria.group.leader();
-  const connectionPenalty = link.isShutOut(criteria.user)
+  const connectionPenalty = link.isStarved(criteria.user)
     ? NO_CONNECTION_PENALTY_MS
     : 0;
   return (
--- a/packages/gateway/src/select_target.ts
+++ b/packages/gateway/src/select_target.ts
@@ -4,7 +4,7 @@
   type Milliseconds,
   type Runtime,
   type Task,
-  waitAtMost,
+  waitWithTimeout,
 } from '@kelpstep/runtime';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
 
@@ -99,7 +99,7 @@
   links: ReadonlyArray<TargetLink | undefined>,
   {account}: DispatchRequest,
 ): boolean {
-  return links.every(link => link?.isShutOut(account) ?? true);
+  return links.every(link => link?.isStarved(account) ?? true);
 }
 
 export function createTargetSelector(
@@ -213,13 +213,13 @@
         if (late !== undefined) {
           return late;
         }
-        yield* waitAtMost(
+        yield* waitWithTimeout(
           group.changes.next(),
           Math.min(remaining, FRESHNESS_PROOF_TIMEOUT_MS),
         );
         continue;
       }
-      if (link.isShutOut(request.account) && shouldTryPeers(search)) {
+      if (link.isStarved(request.account) && shouldTryPeers(search)) {
         return 'elsewhere';
       }
       if (request.isWrite) {
@@ -266,7 +266,7 @@
       if (remaining <= 0) {
         return undefined;
       }
-      yield* waitAtMost(
+      yield* waitWithTimeout(
         group.changes.next(),
         Math.min(remaining, TARGET_POLL_INTERVAL_MS),
       );
--- a/packages/gateway/src/serve_session.ts
+++ b/packages/gateway/src/serve_session.ts
@@ -6,9 +6,9 @@
   type Runtime,
   type Task,
   receive,
-  receiveAtMost,
+  receiveWithTimeout,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import {
@@ -21,7 +21,7 @@
   createSessionSettings,
   errorAnswer,
   localAnswer,
-  sharedName,
+  sharedStatementName,
 } from '@kelpstep/statements';
 import type {PinnedConnection} from '@kelpstep/targets';
 
@@ -121,7 +121,7 @@
       return yield* receive(caller.messages);
     }
     const idle = configuration.current()?.transactionIdle ?? Infinity;
-    return yield* receiveAtMost(caller.messages, idle);
+    return yield* receiveWithTimeout(caller.messages, idle);
   }
 
   function resolve(statement: SessionStatement): ResolvedStatement | undefined {
@@ -133,7 +133,7 @@
     if (shape === undefined) {
       return undefined;
     }
-    const shared = {...statement, name: sharedName(shape)};
+    const shared = {...statement, name: sharedStatementName(shape)};
     return {statement: shared, shape, isWrite: shape.access === 'write'};
   }
 
@@ -185,7 +185,7 @@
     statement: SessionStatement,
   ): Task<[StatementAnswer, RequestDetails]> {
     const arrivedAt = timer.now();
-    yield* waitAtMost(configuration.first, FIRST_CONFIGURATION_TIMEOUT_MS);
+    yield* waitWithTimeout(configuration.first, FIRST_CONFIGURATION_TIMEOUT_MS);
     const admission = configuration.admit(caller);
     if (admission.kind === 'refused') {
       return [admission.answer, LOCAL_REQUEST];
--- a/packages/manifest/__tests__/manifest_synchronizer.spec.ts
+++ b/packages/manifest/__tests__/manifest_synchronizer.spec.ts
@@ -15,7 +15,7 @@
   OfferedManifest,
   PeerManifestResult,
   commitManifest,
-  createManifestKeeper,
+  createManifestSynchronizer,
   manifestDigest,
 } from '..';
 import {OFFICE_MANIFEST} from './examples';
@@ -57,7 +57,7 @@
 
   for (let index = 0; index < count; index++) {
     synchronizers.push(
-      createManifestKeeper({
+      createManifestSynchronizer({
         runtime,
         platform: platform.client,
         polls: () => index < 2,
--- a/packages/manifest/src/commit_manifest.ts
+++ b/packages/manifest/src/commit_manifest.ts
@@ -26,7 +26,7 @@
 import {RetryingCalls, createRetryingCalls} from './retrying_calls';
 import {inspectManifest, manifestDigest} from './read_manifest';
 import {replaceManifestRow} from './replace_manifest_row';
-import {checkSuccession} from './manifest_update';
+import {checkManifestUpdate} from './manifest_update';
 
 /** A commit, with the runtime and the platform that it uses. */
 export interface CommitOptions {
@@ -95,7 +95,7 @@
   if (previous.err) {
     return previous;
   }
-  const updateIssues = checkSuccession(previous.val, manifest).map(locate);
+  const updateIssues = checkManifestUpdate(previous.val, manifest).map(locate);
   return hasErrors(updateIssues)
     ? Err(invalidManifest([...findings, ...updateIssues]))
     : Ok(manifest);
--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -18,7 +18,7 @@
   createDeferred,
   settledFuture,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import {Ok, Result} from 'ts-results';
@@ -100,7 +100,7 @@
 const MAXIMUM_CONCURRENT_FETCHES = 2;
 
 /** Creates a manifest synchronizer that has no manifest yet. */
-export function createManifestKeeper(
+export function createManifestSynchronizer(
   options: ManifestSynchronizerOptions,
 ): ManifestSynchronizer {
   const {runtime, platform, fetchManifest} = options;
@@ -195,7 +195,7 @@
     const offers: OfferedManifest[] = [];
     for (const request of requests) {
       const remaining = Math.max(0, deadline - runtime.timer.now());
-      const reply = yield* waitAtMost(request, remaining);
+      const reply = yield* waitWithTimeout(request, remaining);
       if (reply?.ok && reply.val.manifest !== undefined) {
         offers.push(reply.val.manifest);
       }
@@ -208,7 +208,7 @@
     let backoff = MINIMUM_START_BACKOFF_MS;
     while (current === undefined) {
       const reading = runtime.spawn('ask platform', readFromPlatform());
-      yield* waitAtMost(reading.result, START_TIMEOUT_MS);
+      yield* waitWithTimeout(reading.result, START_TIMEOUT_MS);
       if (current === undefined) {
         yield* requestFromPeers();
       }
--- a/packages/manifest/src/manifest_update.ts
+++ b/packages/manifest/src/manifest_update.ts
@@ -98,7 +98,7 @@
  * Returns the issues that rule out `next` as the version after `previous`.
  * Their paths refer to the data of `next`.
  */
-export function checkSuccession(
+export function checkManifestUpdate(
   previous: Manifest,
   next: Manifest,
 ): DataIssue[] {
--- a/packages/manifest/src/retrying_calls.ts
+++ b/packages/manifest/src/retrying_calls.ts
@@ -6,7 +6,7 @@
   Runtime,
   Task,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
 } from '@kelpstep/runtime';
 import {Err, Result} from 'ts-results';
 
@@ -40,7 +40,7 @@
   const {timer, random} = runtime;
 
   function* once<T>(call: ServiceCall<T>): Task<Result<T, Failure>> {
-    const answer = yield* waitAtMost(call(), deadline - timer.now());
+    const answer = yield* waitWithTimeout(call(), deadline - timer.now());
     return answer ?? Err(createFailure('PLATFORM_UNAVAILABLE'));
   }
 
--- a/packages/membership/__tests__/create_membership.spec.ts
+++ b/packages/membership/__tests__/create_membership.spec.ts
@@ -124,7 +124,7 @@
   test('excludes proxies that announce their stop or are listed as leaving', () => {
     const {network, proxies} = createCluster();
     at(proxies, 3).membership.leave();
-    at(proxies, 0).membership.noteInstances([
+    at(proxies, 0).membership.applyInstanceList([
       ...[
         {id: 'p6', address: 'p6'},
         {id: 'p7', address: 'elsewhere'},
@@ -144,7 +144,7 @@
 
   test('does not consider a listed instance alive before it answers', () => {
     const {network, proxies, all} = createCluster();
-    at(proxies, 0).membership.noteInstances([
+    at(proxies, 0).membership.applyInstanceList([
       {
         id: 'gone',
         role: 'proxy',
@@ -160,7 +160,7 @@
   test('discovers a proxy without seeds through the platform list', () => {
     const {network, proxies, all} = createCluster();
     const ninth = network.add('p8', 'east', []);
-    at(proxies, 0).membership.noteInstances([
+    at(proxies, 0).membership.applyInstanceList([
       {
         id: 'p8',
         role: 'proxy',
@@ -180,11 +180,11 @@
     const first = at(proxies, 0);
     first.leaderships.set('g', leadership);
     first.membership.announceLeadership(leadership);
-    first.membership.noteInstances([
+    first.membership.applyInstanceList([
       {...target, role: 'target', dataCentre: 'east', state: 'leaving'},
     ]);
     first.manifestVersion = 7;
-    first.membership.spread();
+    first.membership.triggerExchanges();
     network.timer.advance(200);
     for (const {leaderships, membership} of proxies) {
       expect(leaderships.get('g')).toEqual(leadership);
--- a/packages/membership/__tests__/fake_network.ts
+++ b/packages/membership/__tests__/fake_network.ts
@@ -179,8 +179,8 @@
       hooks: {
         ready: () => true,
         manifestVersion: () => proxy.manifestVersion,
-        heardManifest: version => receivedManifestVersions.push(version),
-        heardLeadership(leadership) {
+        onManifestVersion: version => receivedManifestVersions.push(version),
+        onLeadership(leadership) {
           const known = leaderships.get(leadership.group)?.term ?? 0;
           const isNew = leadership.term > known;
           if (isNew) {
--- a/packages/membership/__tests__/instance_polling.spec.ts
+++ b/packages/membership/__tests__/instance_polling.spec.ts
@@ -10,7 +10,7 @@
 import {describe, test} from 'node:test';
 import {Err, Ok} from 'ts-results';
 
-import {startInstanceWatch} from '..';
+import {startInstancePolling} from '..';
 
 const LIST: ListedInstance[] = [
   {id: 'a', role: 'target', address: 'x', dataCentre: 'd', state: 'leaving'},
@@ -29,7 +29,7 @@
         return settledFuture(state.isUnavailable ? unavailable : Ok(LIST));
       },
     };
-    startInstanceWatch({
+    startInstancePolling({
       runtime,
       platform,
       polls: () => state.polls,
--- a/packages/membership/__tests__/short_exchange.spec.ts
+++ b/packages/membership/__tests__/short_exchange.spec.ts
@@ -56,7 +56,7 @@
   const runtime = createRuntime({timer, random: createRandom(1)});
   const exchange = createShortExchange({
     runtime,
-    ask: sendRequest,
+    request: sendRequest,
     timeout: 100,
   });
 
--- a/packages/membership/src/create_membership.ts
+++ b/packages/membership/src/create_membership.ts
@@ -21,7 +21,7 @@
 import {
   BaseGossipTiming,
   GossipTimingPolicy,
-  proportionalPace,
+  proportionalTiming,
 } from './gossip_timing';
 import {memberKey} from './member_table';
 import type {Membership} from './membership';
@@ -44,8 +44,8 @@
   readonly seeds: readonly string[];
   readonly exchange: PeerExchange;
   readonly hooks: MembershipHooks;
-  readonly paceBase?: BaseGossipTiming;
-  readonly pacePolicy?: GossipTimingPolicy;
+  readonly baseTiming?: BaseGossipTiming;
+  readonly timingPolicy?: GossipTimingPolicy;
 }
 
 /** Membership with the operations that only the proxy's wiring uses. */
@@ -61,9 +61,9 @@
   /**
    * Starts exchanges with some peers soon, for example after a new manifest.
    */
-  spread(): void;
+  triggerExchanges(): void;
   /** Applies the platform's list of instances, which may be out of date. */
-  noteInstances(instances: readonly ListedInstance[]): void;
+  applyInstanceList(instances: readonly ListedInstance[]): void;
   /**
    * True if the platform's list recently showed a target with this id and
    * address as leaving.
@@ -104,8 +104,8 @@
 ): RunningMembership {
   const {runtime, self} = options;
   const {timer, random} = runtime;
-  const baseTiming = options.paceBase ?? DEFAULT_BASE_TIMING;
-  const timingPolicy = options.pacePolicy ?? proportionalPace;
+  const baseTiming = options.baseTiming ?? DEFAULT_BASE_TIMING;
+  const timingPolicy = options.timingPolicy ?? proportionalTiming;
   const listeners = new Set<() => void>();
   const joined = createDeferred<void>();
   let listedAddresses: readonly string[] = [];
@@ -274,8 +274,8 @@
     joined: joined.future,
     leave: gossipState.leave,
     announceLeadership: gossipState.announceLeadership,
-    spread: scheduleBurst,
-    noteInstances(instances) {
+    triggerExchanges: scheduleBurst,
+    applyInstanceList(instances) {
       listedAddresses = instances
         .filter(({role, state}) => role === 'proxy' && state === 'live')
         .map(({address}) => address);
--- a/packages/membership/src/exchanges.ts
+++ b/packages/membership/src/exchanges.ts
@@ -5,7 +5,7 @@
   Milliseconds,
   Runtime,
   Task,
-  waitAtMost,
+  waitWithTimeout,
 } from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
@@ -80,7 +80,7 @@
       const {exchangeTimeout} = timing();
       const startedAt = timer.now();
       const state = gossipState.describe(peer, {requestDifferences});
-      const reply = yield* waitAtMost(
+      const reply = yield* waitWithTimeout(
         exchange(address, state),
         exchangeTimeout,
       );
--- a/packages/membership/src/gossip_state.ts
+++ b/packages/membership/src/gossip_state.ts
@@ -29,9 +29,9 @@
   readonly ready: () => boolean;
   /** Version of the active manifest; 0 without one. */
   readonly manifestVersion: () => number;
-  readonly heardManifest: (version: number, from: ProxyIdentity) => void;
+  readonly onManifestVersion: (version: number, from: ProxyIdentity) => void;
   /** Merges a leadership; returns true if it is new and must be forwarded. */
-  readonly heardLeadership: (leadership: GroupLeadership) => boolean;
+  readonly onLeadership: (leadership: GroupLeadership) => boolean;
 }
 
 /** The peer of an exchange; `key` is undefined while its process is unknown. */
@@ -250,11 +250,11 @@
     state.updates?.forEach(mergeUpdate);
     state.leaderships.forEach(receiveLeadership);
     state.leavingTargets?.forEach(receiveLeavingTarget);
-    hooks.heardManifest(state.manifestVersion, state.from);
+    hooks.onManifestVersion(state.manifestVersion, state.from);
   }
 
   function receiveLeadership(leadership: GroupLeadership): void {
-    if (hooks.heardLeadership(leadership)) {
+    if (hooks.onLeadership(leadership)) {
       announceLeadership(leadership);
     }
   }
--- a/packages/membership/src/gossip_timing.ts
+++ b/packages/membership/src/gossip_timing.ts
@@ -41,7 +41,7 @@
  * Lengthens the interval in proportion to the number of proxies, so that the
  * cost per proxy falls to its minimum in large clusters; see docs/decisions.
  */
-export function proportionalPace(
+export function proportionalTiming(
   proxies: number,
   base: BaseGossipTiming,
 ): GossipTiming {
--- a/packages/membership/src/instance_polling.ts
+++ b/packages/membership/src/instance_polling.ts
@@ -20,7 +20,7 @@
  * Starts polling. `onList` is not called during a platform outage, so the last
  * list stays in effect.
  */
-export function startInstanceWatch(options: InstancePollingOptions): void {
+export function startInstancePolling(options: InstancePollingOptions): void {
   const {runtime, platform, polls, onList} = options;
   const interval = options.interval ?? DEFAULT_INTERVAL_MS;
 
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -3,7 +3,7 @@
   PeerCondition,
   PeerUpdate,
   ProxyIdentity,
-  VIEW_BUCKETS,
+  VIEW_BUCKET_COUNT,
 } from '@kelpstep/protocol';
 import type {Milliseconds} from '@kelpstep/runtime';
 
@@ -39,7 +39,7 @@
   changedAt(): Milliseconds;
 }
 
-const BUCKET_SHIFT = 32 - Math.log2(VIEW_BUCKETS);
+const BUCKET_SHIFT = 32 - Math.log2(VIEW_BUCKET_COUNT);
 
 const CONDITION_SEVERITY: Readonly<Record<PeerCondition, number>> = {
   alive: 0,
@@ -90,7 +90,7 @@
 
 export function createMemberTable(): MemberTable {
   const entries = new Map<string, MemberEntry>();
-  const buckets = new Uint32Array(VIEW_BUCKETS);
+  const buckets = new Uint32Array(VIEW_BUCKET_COUNT);
   let ring: readonly MemberEntry[] | undefined;
   let changedAt: Milliseconds = 0;
 
--- a/packages/membership/src/short_exchange.ts
+++ b/packages/membership/src/short_exchange.ts
@@ -22,7 +22,7 @@
  */
 export interface ShortExchangeOptions {
   readonly runtime: Runtime;
-  readonly ask: IdempotentRequest;
+  readonly request: IdempotentRequest;
   readonly timeout: Milliseconds;
 }
 
@@ -61,7 +61,7 @@
 export function createShortExchange(
   options: ShortExchangeOptions,
 ): PeerExchange {
-  const {runtime, ask: sendRequest, timeout} = options;
+  const {runtime, request: sendRequest, timeout} = options;
   const knownPeers = new Map<string, ProxyIdentity>();
 
   function* exchange(
--- a/packages/platform/src/concurrency_limiter.ts
+++ b/packages/platform/src/concurrency_limiter.ts
@@ -3,7 +3,7 @@
   Milliseconds,
   Task,
   createDeferred,
-  waitAtMost,
+  waitWithTimeout,
 } from '@kelpstep/runtime';
 
 /** Bounds the number of tasks that hold a slot. */
@@ -40,7 +40,7 @@
     const acquired = createDeferred<true>();
     const grant = () => void acquired.settle(true);
     queue.push(grant);
-    const isAcquired = yield* waitAtMost(acquired.future, timeout);
+    const isAcquired = yield* waitWithTimeout(acquired.future, timeout);
     if (isAcquired === undefined) {
       queue.splice(queue.indexOf(grant), 1);
     }
--- a/packages/pool/__tests__/fake_target.ts
+++ b/packages/pool/__tests__/fake_target.ts
@@ -24,7 +24,7 @@
   DEFAULT_CONNECTION_TIMES,
   PoolPolicies,
   TargetPoolOptions,
-  WORTH_PER_SLOT_TIME,
+  VALUE_PER_SLOT_TIME,
   createAdaptiveLimit,
   createTargetPool,
   equalShare,
@@ -36,7 +36,7 @@
 const ADDRESS = `${TARGET}:7000`;
 
 export const TEST_POLICIES: PoolPolicies = {
-  queue: WORTH_PER_SLOT_TIME,
+  queue: VALUE_PER_SLOT_TIME,
   createConcurrencyLimit: createAdaptiveLimit,
   retryAfter: spreadRetryAfter,
   connectionShare: equalShare,
--- a/packages/pool/__tests__/target_pool.spec.ts
+++ b/packages/pool/__tests__/target_pool.spec.ts
@@ -7,7 +7,7 @@
   Lease,
   borrowingShare,
   controlReserve,
-  createNoLimit,
+  createUnlimitedConcurrency,
   equalShare,
 } from '..';
 import {PROXY, TARGET, TEST_POLICIES, createFakeTarget} from './fake_target';
@@ -51,7 +51,7 @@
     const {pool, network, timer, send, outcomeNames} = createFakeTarget();
     pool.keepWarm(3);
     timer.advance(5);
-    network.silence(PROXY, TARGET);
+    network.blackholeConnections(PROXY, TARGET);
     send(1, 50);
     timer.advance(60);
     send(1, 500);
@@ -238,7 +238,7 @@
       policies: {
         ...TEST_POLICIES,
         queue: FIRST_COME_FIRST_SERVED,
-        createConcurrencyLimit: createNoLimit,
+        createConcurrencyLimit: createUnlimitedConcurrency,
       },
     });
     send(10, 1000, 1, 'first');
--- a/packages/pool/src/admission.ts
+++ b/packages/pool/src/admission.ts
@@ -49,7 +49,7 @@
 export type RunOutcome = LimitSample['outcome'];
 
 /** Records when a started request was sent and how it ended. */
-export interface AdmittedRun {
+export interface RunningRequest {
   /**
    * Marks the request as sent now, if it was not sent when it was started. The
    * time to open a connection is not service time: if it counted as such,
@@ -79,7 +79,7 @@
   next(): E | undefined;
   takeAll(): E[];
   /** Marks a request as started and sent. */
-  start(entry: E): AdmittedRun;
+  start(entry: E): RunningRequest;
   /** Requeues a request that found no free slot, and pauses for a backoff. */
   waitForSlot(entry: E): void;
   /** Reserves a slot for a transaction. */
@@ -180,7 +180,7 @@
     }
   }
 
-  function start(entry: E): AdmittedRun {
+  function start(entry: E): RunningRequest {
     let sentAt = timer.now();
     running += 1;
     slotTimeInFlight += entry.expected;
--- a/packages/pool/src/concurrency_limit.ts
+++ b/packages/pool/src/concurrency_limit.ts
@@ -108,6 +108,6 @@
 }
 
 /** Creates a limit that is never reached, used for comparison. */
-export function createNoLimit(): ConcurrencyLimit {
+export function createUnlimitedConcurrency(): ConcurrencyLimit {
   return createFixedLimit(Infinity);
 }
--- a/packages/pool/src/queue_policy.ts
+++ b/packages/pool/src/queue_policy.ts
@@ -42,7 +42,7 @@
  * Serves the highest value per slot time first. A request that is predicted to
  * miss its deadline is refused at once.
  */
-export const WORTH_PER_SLOT_TIME: QueuePolicy = {
+export const VALUE_PER_SLOT_TIME: QueuePolicy = {
   compare: (left, right) =>
     right.worth / right.expected - left.worth / left.expected ||
     left.order - right.order,
--- a/packages/protocol/src/peer_messages.ts
+++ b/packages/protocol/src/peer_messages.ts
@@ -54,7 +54,7 @@
 const checksumSchema = z.number().int().nonnegative().max(0xffffffff);
 
 /** Number of hash buckets for comparing the views of two proxies. */
-export const VIEW_BUCKETS = 64;
+export const VIEW_BUCKET_COUNT = 64;
 
 /** Heartbeat and gossip between two proxies; request and answer are alike. */
 export const peerStateSchema = z.strictObject({
@@ -92,7 +92,7 @@
     })
     .optional(),
   /** Checksums by bucket; requests the receiver's updates where they differ. */
-  buckets: z.array(checksumSchema).length(VIEW_BUCKETS).optional(),
+  buckets: z.array(checksumSchema).length(VIEW_BUCKET_COUNT).optional(),
 });
 export type PeerState = z.infer<typeof peerStateSchema>;
 
--- a/packages/proxy/src/create_proxy.ts
+++ b/packages/proxy/src/create_proxy.ts
@@ -10,14 +10,14 @@
 import {
   AcceptedManifest,
   Settings,
-  createManifestKeeper,
+  createManifestSynchronizer,
   stopPolicySchema,
 } from '@kelpstep/manifest';
 import {
   createIdempotentRequest,
   createMembership,
   createShortExchange,
-  startInstanceWatch,
+  startInstancePolling,
 } from '@kelpstep/membership';
 import {
   createAuditTrail,
@@ -40,7 +40,7 @@
   Task,
   mapFuture,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 
@@ -105,17 +105,17 @@
     seeds: settings.seeds,
     exchange: createShortExchange({
       runtime,
-      ask: requestFromPeer,
+      request: requestFromPeer,
       timeout: intervals.peerExchangeTimeout,
     }),
     hooks: {
       ready: () => unreadyReason() === undefined,
       manifestVersion: () => manifests.version(),
-      heardManifest: (version, from) =>
+      onManifestVersion: (version, from) =>
         manifests.notePeerVersion(version, from.address),
-      heardLeadership: applyLeadership,
+      onLeadership: applyLeadership,
     },
-    paceBase: {
+    baseTiming: {
       interval: intervals.peerExchange,
       exchangeTimeout: intervals.peerExchangeTimeout,
       suspicionTime: intervals.peerSuspicion,
@@ -123,7 +123,7 @@
   });
   const responsibilities = createResponsibilities(membership);
 
-  const manifests = createManifestKeeper({
+  const manifests = createManifestSynchronizer({
     runtime,
     platform,
     polls: () => responsibilities.polls('manifest'),
@@ -196,7 +196,7 @@
   ]);
   manifests.onChange(applyManifest);
   membership.onChange(() => {
-    groups.reviewWatching();
+    groups.updateMonitoring();
     requests.reconfigure();
   });
 
@@ -225,7 +225,7 @@
     logger.info('manifest_in_force', {version});
     groups.updateManifest(manifest.groups, version);
     requests.reconfigure();
-    membership.spread();
+    membership.triggerExchanges();
   }
 
   /**
@@ -258,11 +258,11 @@
         listening = true;
         membership.start();
         manifests.start();
-        startInstanceWatch({
+        startInstancePolling({
           runtime,
           platform,
           polls: () => responsibilities.polls('instances'),
-          onList: membership.noteInstances,
+          onList: membership.applyInstanceList,
           interval: intervals.instancesPoll,
         });
         logger.info('started', {address: self.address});
@@ -282,7 +282,7 @@
     const refusal = runtime.spawn('refuse', sleep(MINIMUM_REFUSAL_TIME_MS));
     yield* waitFor(requests.drain(policy.drainTime));
     yield* waitFor(refusal.result);
-    yield* waitAtMost(audit.flushed(), AUDIT_FLUSH_TIMEOUT_MS);
+    yield* waitWithTimeout(audit.flushed(), AUDIT_FLUSH_TIMEOUT_MS);
     logger.info('stopped', {count: audit.pending()});
     return undefined;
   }
--- a/packages/proxy/src/operator_methods.ts
+++ b/packages/proxy/src/operator_methods.ts
@@ -94,7 +94,7 @@
 );
 
 /** Maximum number of rows of the audit table in one page. */
-export const LARGEST_AUDIT_PAGE = 100;
+export const MAXIMUM_AUDIT_PAGE_ROWS = 100;
 
 /** Reads a page of the audit trail, oldest entries first. */
 export const auditList = defineMethod(
@@ -103,7 +103,7 @@
     /** `next` of the previous page, or the key of a time; "" for the start. */
     after: z.string().max(200),
     /** Maximum number of rows; each holds the entries of one batch. */
-    limit: z.number().int().min(1).max(LARGEST_AUDIT_PAGE),
+    limit: z.number().int().min(1).max(MAXIMUM_AUDIT_PAGE_ROWS),
   }),
   auditPageSchema,
 );
--- a/packages/request-ledger/__tests__/transaction_id.spec.ts
+++ b/packages/request-ledger/__tests__/transaction_id.spec.ts
@@ -9,8 +9,8 @@
 
 import {
   checkKeyAge,
-  commitKeyOf,
-  createKeyMaker,
+  deriveCommitKey,
+  createKeyGenerator,
   formatTransactionId,
   parseTransactionId,
 } from '..';
@@ -33,7 +33,7 @@
       fc.property(partsArbitrary, parts => {
         const id = formatTransactionId(parts);
         expect(parseTransactionId(id)).toEqual(parts);
-        expect(commitKeyOf(id, parts).issuedAt).toEqual(parts.begunAt);
+        expect(deriveCommitKey(id, parts).issuedAt).toEqual(parts.begunAt);
       }),
       {seed: SEED},
     );
@@ -60,7 +60,7 @@
   test('are unique and within the age limits when created', () => {
     const timer = createVirtualTimer();
     const runtime = createRuntime({timer, random: createRandom(1)});
-    const createKey = createKeyMaker(runtime, 'incarnation');
+    const createKey = createKeyGenerator(runtime, 'incarnation');
     const keys = Array.from({length: 100}, createKey);
     expect(new Set(keys.map(({id}) => id)).size).toEqual(100);
     const limits = {retention: 10, expiryMargin: 1, clockTolerance: 1};
--- a/packages/request-ledger/src/confirm.ts
+++ b/packages/request-ledger/src/confirm.ts
@@ -14,7 +14,7 @@
   const startedAt = runtime.timer.now();
   const confirmation = yield* waitFor(group.view.confirmation(at, deadline));
   if (confirmation === 'confirmed') {
-    group.noteConfirmationTime(runtime.timer.now() - startedAt);
+    group.observeConfirmationTime(runtime.timer.now() - startedAt);
   }
   return confirmation;
 }
--- a/packages/request-ledger/src/group_access.ts
+++ b/packages/request-ledger/src/group_access.ts
@@ -9,7 +9,7 @@
   /** Returns `undefined` if the manifest has no such member. */
   pool(memberId: string): TargetPool | undefined;
   /** False if the member has been leaving for longer than the grace period. */
-  takesWrites(memberId: string): boolean;
+  acceptsWrites(memberId: string): boolean;
   /**
    * Monotonic time since which requests have found no primary; `undefined`
    * while they find one.
@@ -26,12 +26,12 @@
    */
   isCold(): boolean;
   /** Records that a request found no primary. */
-  noteTrouble(): void;
+  reportPrimaryUnavailable(): void;
   /** Records that a primary served a request. */
-  noteService(): void;
+  reportPrimaryAvailable(): void;
   /** Moving average of the time from a target's answer to its confirmation. */
   confirmationTime(): Milliseconds;
-  noteConfirmationTime(duration: Milliseconds): void;
+  observeConfirmationTime(duration: Milliseconds): void;
 }
 
 /** True if more than half of the group's members are reachable. */
--- a/packages/request-ledger/src/idempotency_key.ts
+++ b/packages/request-ledger/src/idempotency_key.ts
@@ -18,7 +18,7 @@
  * Returns a function whose keys are unique across processes. `incarnation`
  * identifies the process.
  */
-export function createKeyMaker(
+export function createKeyGenerator(
   runtime: Runtime,
   incarnation: string,
 ): () => IdempotencyKey {
--- a/packages/request-ledger/src/pinned_statement.ts
+++ b/packages/request-ledger/src/pinned_statement.ts
@@ -48,8 +48,8 @@
   {statement, mode, seen}: TransactionStatement,
 ): Task<Result<TransactionAnswer, Failure>> {
   const {lease, primary, freshAt} = transaction;
-  context.notes.servedBy = primary;
-  context.notes.role = 'primary';
+  context.metadata.servedBy = primary;
+  context.metadata.role = 'primary';
   const parameters = {
     statement,
     mode,
--- a/packages/request-ledger/src/primary_calls.ts
+++ b/packages/request-ledger/src/primary_calls.ts
@@ -80,7 +80,7 @@
 }
 
 export function createPrimaryCalls(context: RequestContext): PrimaryCalls {
-  const {group, runtime, policies, notes} = context;
+  const {group, runtime, policies, metadata: notes} = context;
   const {view} = group;
   const {timer, random} = runtime;
   let attempts = 0;
@@ -111,7 +111,7 @@
   function usableLeadership(): Leadership | undefined {
     const leadership = view.leadership();
     return leadership !== undefined &&
-      group.takesWrites(leadership.primary) &&
+      group.acceptsWrites(leadership.primary) &&
       group.pool(leadership.primary) !== undefined &&
       reachesMajority(view)
       ? leadership
@@ -125,7 +125,7 @@
       if (leadership !== undefined) {
         return leadership;
       }
-      group.noteTrouble();
+      group.reportPrimaryUnavailable();
       if (
         remainingTime(context) <= 0 ||
         !policies.shouldAwaitFailover(failoverConditions())
@@ -191,7 +191,7 @@
       view.observeTerm(failure.failure.term);
     }
     if (failure.kind === 'timeout' || failure.kind === 'closed') {
-      view.observeSilence(primary);
+      view.reportUnresponsive(primary);
     }
     if (!isKnownNotRun(failure)) {
       isAmbiguous = true;
@@ -207,7 +207,7 @@
     if (!isLeadershipRefusal && failure.sent) {
       return yield* retryWithinBudget(term);
     }
-    group.noteTrouble();
+    group.reportPrimaryUnavailable();
     if (!policies.shouldAwaitFailover(failoverConditions())) {
       return createNoPrimaryFailure();
     }
@@ -251,7 +251,7 @@
       }
       notes.queueTime += attempt.queueTime;
       if (attempt.reply.ok) {
-        group.noteService();
+        group.reportPrimaryAvailable();
         notes.servedBy = leadership.primary;
         notes.role = 'primary';
         return {kind: 'answered', attempt, leadership};
--- a/packages/request-ledger/src/request_context.ts
+++ b/packages/request-ledger/src/request_context.ts
@@ -8,7 +8,7 @@
 import type {LedgerPolicies} from './ledger_policies';
 
 /** Data collected while a request is served, for metrics and logs. */
-export interface RequestNotes {
+export interface RequestMetadata {
   retries: number;
   queueTime: Milliseconds;
   servedBy: string | undefined;
@@ -27,10 +27,10 @@
   readonly deadline: Milliseconds;
   readonly policies: LedgerPolicies;
   readonly retryBudget: RetryBudget;
-  readonly notes: RequestNotes;
+  readonly metadata: RequestMetadata;
 }
 
-export function createRequestNotes(): RequestNotes {
+export function createRequestMetadata(): RequestMetadata {
   return {
     retries: 0,
     queueTime: 0,
--- a/packages/request-ledger/src/settle_key.ts
+++ b/packages/request-ledger/src/settle_key.ts
@@ -15,7 +15,7 @@
 import type {RequestContext} from './request_context';
 
 /** Returns the log position of the record that settles a key. */
-export function settledAt(state: KeyState) {
+export function settlementPosition(state: KeyState) {
   return state.state === 'recorded' ? state.execution.at : state.at;
 }
 
@@ -46,7 +46,7 @@
     }
     const confirmation = yield* awaitConfirmation(
       context,
-      settledAt(reply.val),
+      settlementPosition(reply.val),
     );
     if (confirmation === 'confirmed') {
       return Ok(reply.val);
--- a/packages/request-ledger/src/transaction_id.ts
+++ b/packages/request-ledger/src/transaction_id.ts
@@ -8,7 +8,7 @@
 import type {Milliseconds} from '@kelpstep/runtime';
 
 /** Parsed transaction id. */
-export interface TransactionName {
+export interface TransactionIdParts {
   /** Id of the owning proxy. */
   readonly proxy: string;
   readonly incarnation: string;
@@ -24,9 +24,9 @@
 const PART_COUNT = 6;
 const TIME_RADIX = 36;
 /** Number of hexadecimal digits of the nonce. */
-export const NONCE_DIGITS = 16;
+export const NONCE_DIGIT_COUNT = 16;
 
-export function formatTransactionId(parts: TransactionName): string {
+export function formatTransactionId(parts: TransactionIdParts): string {
   return [
     PREFIX,
     encodeURIComponent(parts.proxy),
@@ -49,7 +49,7 @@
  * Parses an id. Returns `undefined` for any text that `formatTransactionId`
  * does not produce.
  */
-export function parseTransactionId(id: string): TransactionName | undefined {
+export function parseTransactionId(id: string): TransactionIdParts | undefined {
   const fields = id.split(SEPARATOR);
   if (fields.length !== PART_COUNT || fields[0] !== PREFIX) {
     return undefined;
@@ -68,9 +68,9 @@
 }
 
 /** Returns the key of a commit for which the caller passed none. */
-export function commitKeyOf(
+export function deriveCommitKey(
   id: string,
-  parts: TransactionName,
+  parts: TransactionIdParts,
 ): IdempotencyKey {
   return {id, issuedAt: parts.begunAt};
 }
--- a/packages/request-ledger/src/transaction_table.ts
+++ b/packages/request-ledger/src/transaction_table.ts
@@ -110,7 +110,7 @@
       minimumPosition,
       freshAt,
       lastUsedAt: now,
-      expiresAt: now + options.totalTime,
+      expiresAt: now + options.maximumDuration,
       isBusy: false,
       stopMonitoring: () => {},
     };
@@ -118,7 +118,7 @@
     transaction.stopMonitoring = monitorTransaction(
       timer,
       transaction,
-      options.idleTime,
+      options.idleTimeout,
       {
         onClosed: () => remove(transaction),
         onExpired: reason => discard(transaction, reason),
@@ -236,6 +236,6 @@
     size: () => transactions.size,
     whenEmpty: () =>
       transactions.size === 0 ? settledFuture(undefined) : emptySignal.future,
-    endAll: rollBackAll,
+    rollBackAll,
   };
 }
--- a/packages/request-ledger/src/transaction_types.ts
+++ b/packages/request-ledger/src/transaction_types.ts
@@ -16,9 +16,9 @@
 export interface TransactionTableOptions {
   readonly runtime: Runtime;
   /** Time without a statement after which a transaction is rolled back. */
-  readonly idleTime: Milliseconds;
+  readonly idleTimeout: Milliseconds;
   /** Age at which a transaction is rolled back. */
-  readonly totalTime: Milliseconds;
+  readonly maximumDuration: Milliseconds;
 }
 
 export interface TransactionStatement {
@@ -74,5 +74,5 @@
    * Rolls back every transaction: at once if it is idle, otherwise when its
    * running statement ends. New transactions are then refused with `STOPPING`.
    */
-  endAll(): void;
+  rollBackAll(): void;
 }
--- a/packages/routing/__tests__/deployment.ts
+++ b/packages/routing/__tests__/deployment.ts
@@ -20,7 +20,7 @@
 import {
   Future,
   Task,
-  VIRTUAL_EPOCH,
+  VIRTUAL_EPOCH_MS,
   createRandom,
   createRuntime,
   createVirtualTimer,
@@ -73,7 +73,7 @@
 
 /** A key that was issued `age` milliseconds before the start. */
 export function keyOf(id: string, age = 0) {
-  return {id, issuedAt: VIRTUAL_EPOCH - age};
+  return {id, issuedAt: VIRTUAL_EPOCH_MS - age};
 }
 
 export function createDeployment(options: DeploymentOptions = {}) {
@@ -321,7 +321,7 @@
      */
     setMonitored(monitored: boolean) {
       isMonitored = monitored;
-      proxies.forEach(({views}) => views.reviewWatching());
+      proxies.forEach(({views}) => views.updateMonitoring());
     },
     proxy,
     control,
--- a/packages/routing/__tests__/reads.spec.ts
+++ b/packages/routing/__tests__/reads.spec.ts
@@ -4,7 +4,7 @@
   callerWrite,
   targetExecute,
 } from '@kelpstep/protocol';
-import {VIRTUAL_EPOCH} from '@kelpstep/runtime';
+import {VIRTUAL_EPOCH_MS} from '@kelpstep/runtime';
 import {EMPTY_SESSION, encodeToken, withPosition} from '@kelpstep/session';
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
@@ -129,7 +129,7 @@
       position: 999_999_999,
     });
     const startedAt = timer.now();
-    const deadline = Math.floor(VIRTUAL_EPOCH + startedAt + 300);
+    const deadline = Math.floor(VIRTUAL_EPOCH_MS + startedAt + 300);
     const outcome = call(0, callerRead, {
       statement: count,
       token: encodeToken(forged),
@@ -147,7 +147,7 @@
       ask(0, callerRead, {statement: count, token: ''});
       for (const index of replicas) {
         if (fault === 'silence') {
-          network.silence(proxyHost(0), databaseHost(index));
+          network.blackholeConnections(proxyHost(0), databaseHost(index));
         } else {
           network.killHost(databaseHost(index));
         }
@@ -229,7 +229,7 @@
     expect([
       refuse(0, callerRead, {...read, kind: 'unheard-of'}),
       refuse(0, callerRead, {...read, token: 'nonsense'}),
-      refuse(0, callerRead, {...read, deadline: VIRTUAL_EPOCH}),
+      refuse(0, callerRead, {...read, deadline: VIRTUAL_EPOCH_MS}),
       refuse(0, callerRead, {...read, transaction: 'tx1:a:b'}),
       refuse(0, callerRead, {...read, group: 'other'} as typeof read),
     ]).toEqual([
@@ -273,7 +273,7 @@
       settings: {serviceTime: 10, slots: 1},
     });
     const startedAt = timer.now();
-    const deadline = Math.floor(VIRTUAL_EPOCH + startedAt + 600);
+    const deadline = Math.floor(VIRTUAL_EPOCH_MS + startedAt + 600);
     const sent = Array.from({length: 400}, (unusedItem, index) => {
       timer.advance(1);
       return send(0, callerWrite, {
--- a/packages/routing/__tests__/transactions.spec.ts
+++ b/packages/routing/__tests__/transactions.spec.ts
@@ -125,7 +125,7 @@
       startTransaction({proxies: 3});
     const replicas = [0, 1, 2].filter(index => index !== primary);
     const otherSide = [1, 2].map(proxyHost).concat(replicas.map(databaseHost));
-    network.cutGroups([proxyHost(0), databaseHost(primary)], otherSide);
+    network.partitionGroups([proxyHost(0), databaseHost(primary)], otherSide);
     timer.advance(3000);
     const {token} = ask(1, callerWrite, {statement: append});
     expect(
--- a/packages/routing/__tests__/writes.spec.ts
+++ b/packages/routing/__tests__/writes.spec.ts
@@ -5,7 +5,7 @@
   targetExecute,
   targetSettleKey,
 } from '@kelpstep/protocol';
-import {VIRTUAL_EPOCH} from '@kelpstep/runtime';
+import {VIRTUAL_EPOCH_MS} from '@kelpstep/runtime';
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
@@ -30,7 +30,7 @@
 }
 
 function deadlineIn(milliseconds: number, now: number): number {
-  return Math.floor(VIRTUAL_EPOCH + now + milliseconds);
+  return Math.floor(VIRTUAL_EPOCH_MS + now + milliseconds);
 }
 
 describe('a write', () => {
@@ -54,7 +54,7 @@
   test('runs once if its connections become unresponsive', () => {
     const {ask, network, primary, entries} = startDeployment();
     ask(0, callerWrite, {statement: append, key});
-    network.silence(proxyHost(0), databaseHost(primary));
+    network.blackholeConnections(proxyHost(0), databaseHost(primary));
     ask(0, callerWrite, {statement: append, key: keyOf('second')});
     expect(entries(primary, 'log')).toEqual(['entry', 'entry']);
   });
@@ -212,7 +212,7 @@
     const {network, primary, replicas, timer} = deployment;
     timer.advance(500);
     const otherSide = [1, 2].map(proxyHost).concat(replicas.map(databaseHost));
-    network.cutGroups([proxyHost(0), databaseHost(primary)], otherSide);
+    network.partitionGroups([proxyHost(0), databaseHost(primary)], otherSide);
     return deployment;
   }
 
--- a/packages/routing/src/caller_methods.ts
+++ b/packages/routing/src/caller_methods.ts
@@ -10,12 +10,12 @@
   callerWrite,
 } from '@kelpstep/protocol';
 import {
-  NONCE_DIGITS,
+  NONCE_DIGIT_COUNT,
   TransactionTable,
   formatTransactionId,
   runWrite,
   settleKey,
-  settledAt,
+  settlementPosition,
 } from '@kelpstep/request-ledger';
 import type {Task} from '@kelpstep/runtime';
 import {Err, Ok, Result} from 'ts-results';
@@ -93,7 +93,7 @@
       return result;
     }
     const {execution, target, role, age} = result.val;
-    Object.assign(context.notes, {servedBy: target, role, age});
+    Object.assign(context.metadata, {servedBy: target, role, age});
     return Ok({
       rows: execution.rows,
       token: tokenAfter(request, execution.at),
@@ -133,7 +133,7 @@
       incarnation: self.incarnation,
       group: parameters.group,
       begunAt: timer.wallClock(),
-      nonce: random.hexadecimal(NONCE_DIGITS),
+      nonce: random.hexadecimal(NONCE_DIGIT_COUNT),
     });
     const begun = yield* transactions.begin(
       request.context,
@@ -158,7 +158,7 @@
     return settled.map(state => ({
       outcome: state.state === 'recorded' ? 'confirmed' : 'not_run',
       rows: state.state === 'recorded' ? state.execution.rows : [],
-      token: tokenAfter(request, settledAt(state)),
+      token: tokenAfter(request, settlementPosition(state)),
     }));
   }
 
--- a/packages/routing/src/group_record.ts
+++ b/packages/routing/src/group_record.ts
@@ -255,19 +255,19 @@
     pool,
     pools: () =>
       new Map([...entries].map(([id, entry]) => [id, entry.pool] as const)),
-    takesWrites(memberId) {
+    acceptsWrites(memberId) {
       const since = leavingSince.get(memberId);
       return since === undefined || timer.now() - since < options.leavingGrace;
     },
     troubleSince: () => outage?.since,
     majorityLostSince: () => majorityLostSince,
     isCold: () => timer.now() < coldUntil,
-    noteTrouble: reportPrimaryUnavailable,
-    noteService() {
+    reportPrimaryUnavailable,
+    reportPrimaryAvailable() {
       outage = undefined;
     },
     confirmationTime: () => confirmationTime,
-    noteConfirmationTime(duration) {
+    observeConfirmationTime(duration) {
       confirmationTime +=
         CONFIRMATION_SMOOTHING_RATIO * (duration - confirmationTime);
     },
--- a/packages/routing/src/local_transactions.ts
+++ b/packages/routing/src/local_transactions.ts
@@ -16,9 +16,9 @@
 } from '@kelpstep/protocol';
 import {
   TransactionAnswer,
-  TransactionName,
+  TransactionIdParts,
   TransactionTable,
-  commitKeyOf,
+  deriveCommitKey,
   resolveCommit,
 } from '@kelpstep/request-ledger';
 import type {Task, TimerService} from '@kelpstep/runtime';
@@ -47,7 +47,7 @@
 /** A transaction id and its parsed parts. */
 export interface ParsedTransaction {
   readonly id: string;
-  readonly name: TransactionName;
+  readonly name: TransactionIdParts;
 }
 
 /**
@@ -103,7 +103,7 @@
     }
     const {execution, target} = answer.val;
     const age = dataAge(answer.val, record);
-    context.notes.age = age;
+    context.metadata.age = age;
     if (maximumAge !== undefined && age > maximumAge) {
       return Err(createFailure('NO_FRESH_TARGET'));
     }
@@ -151,7 +151,7 @@
     request: ActiveRequest,
   ): Task<Result<TransactionResult<'commit'>, Failure>> {
     const {id, name} = transaction;
-    const effectiveKey = key ?? commitKeyOf(id, name);
+    const effectiveKey = key ?? deriveCommitKey(id, name);
     const failure = checkKey(effectiveKey, request.validated.manifest);
     if (failure !== undefined) {
       return Err(failure);
@@ -172,7 +172,7 @@
     {id, name}: ParsedTransaction,
     request: ActiveRequest,
   ): Task<Result<TransactionResult<'commit'>, Failure>> {
-    const derivedKey = commitKeyOf(id, name);
+    const derivedKey = deriveCommitKey(id, name);
     // An earlier commit request may have been sent without the caller's key.
     const keys = key === undefined ? [derivedKey] : [key, derivedKey];
     const resolved = yield* resolveCommit(request.context, keys);
--- a/packages/routing/src/policies.ts
+++ b/packages/routing/src/policies.ts
@@ -3,7 +3,7 @@
   PoolPolicies,
   RetryBudgetSettings,
   DEFAULT_RETRY_BUDGET,
-  WORTH_PER_SLOT_TIME,
+  VALUE_PER_SLOT_TIME,
   borrowingShare,
   createAdaptiveLimit,
   spreadRetryAfter,
@@ -24,7 +24,7 @@
 /** Policies that apply unless they are replaced. */
 export const DEFAULT_REQUEST_POLICIES: RequestPolicies = {
   ...DEFAULT_LEDGER_POLICIES,
-  queue: WORTH_PER_SLOT_TIME,
+  queue: VALUE_PER_SLOT_TIME,
   createConcurrencyLimit: createAdaptiveLimit,
   retryAfter: spreadRetryAfter,
   connectionShare: borrowingShare,
--- a/packages/routing/src/read.ts
+++ b/packages/routing/src/read.ts
@@ -45,9 +45,9 @@
     if (!context.retryBudget.withdraw()) {
       return failure;
     }
-    context.notes.retries += 1;
+    context.metadata.retries += 1;
     candidates.allowBarrier();
-    if (context.notes.retries > 1) {
+    if (context.metadata.retries > 1) {
       yield* backOff();
     }
     return undefined;
--- a/packages/routing/src/read_attempt.ts
+++ b/packages/routing/src/read_attempt.ts
@@ -52,7 +52,7 @@
       timeout,
     }),
   );
-  context.notes.queueTime += attempt.queueTime;
+  context.metadata.queueTime += attempt.queueTime;
   return attempt.reply.ok
     ? yield* checkAnswer(
         options,
@@ -77,7 +77,7 @@
   {kind, sent, failure}: RequestFailure,
 ): ReadAttemptEnd {
   if (kind === 'timeout' || kind === 'closed') {
-    record.view.observeSilence(id);
+    record.view.reportUnresponsive(id);
   }
   if (failure.name === 'OVERLOADED') {
     return {kind: 'elsewhere', failure, wasSent: sent};
--- a/packages/routing/src/read_policy.ts
+++ b/packages/routing/src/read_policy.ts
@@ -171,7 +171,7 @@
 };
 
 /** Sends each read to a random eligible target; a baseline for benchmarks. */
-export const readFromAny: ReadPolicy = (input, random) => {
+export const readFromRandom: ReadPolicy = (input, random) => {
   const eligible = input.targets.filter(target => isEligible(target, input));
   if (eligible.length > 0) {
     return {action: 'send', target: random.pick(eligible).id};
--- a/packages/routing/src/request_service.ts
+++ b/packages/routing/src/request_service.ts
@@ -17,9 +17,9 @@
   peerForward,
 } from '@kelpstep/protocol';
 import {
-  RequestNotes,
-  createKeyMaker,
-  createRequestNotes,
+  RequestMetadata,
+  createKeyGenerator,
+  createRequestMetadata,
   createTransactionTable,
 } from '@kelpstep/request-ledger';
 import {HandlerTable, Reply, createHandlerTable} from '@kelpstep/rpc';
@@ -75,8 +75,8 @@
   const checkKey = createKeyCheck(timer, limits);
   const transactions = createTransactionTable({
     runtime,
-    idleTime: limits.transactionIdleTime,
-    totalTime: limits.transactionTotalTime,
+    idleTimeout: limits.transactionIdleTime,
+    maximumDuration: limits.transactionTotalTime,
   });
   const transactionRequests = createTransactionRequests(
     options,
@@ -88,7 +88,7 @@
     transactions,
     transactionRequests,
     checkKey,
-    makeKey: createKeyMaker(runtime, self.incarnation),
+    makeKey: createKeyGenerator(runtime, self.incarnation),
   });
   const validateRequest = createRequestValidator({
     timer,
@@ -105,7 +105,7 @@
     fields: RequestFields,
     source: RequestSource,
     method: string,
-    notes: RequestNotes,
+    notes: RequestMetadata,
   ): Result<ActiveRequest, Failure> {
     const validated = validateRequest(fields, source);
     if (validated.err) {
@@ -126,7 +126,7 @@
       deadline,
       policies,
       retryBudget,
-      notes,
+      metadata: notes,
     };
     const token = fields.token ?? '';
     return Ok({validated: validated.val, context, record, token});
@@ -140,9 +140,9 @@
     parameters: P,
     source: RequestSource,
     serve: RequestHandler<P, R>,
-    onEnd: (result: Result<R, Failure>, notes: RequestNotes) => void,
+    onEnd: (result: Result<R, Failure>, notes: RequestMetadata) => void,
   ): Future<Reply<R>> {
-    const notes = createRequestNotes();
+    const notes = createRequestMetadata();
     inFlight += 1;
 
     function* task(): Task<Result<R, Failure>> {
@@ -172,7 +172,7 @@
     {group, kind}: RequestFields,
     startedAt: Milliseconds,
     result: Result<unknown, Failure>,
-    notes: RequestNotes,
+    notes: RequestMetadata,
   ): void {
     options.onRequestEnd?.({
       method,
@@ -203,7 +203,13 @@
       const {name} = method;
       if (isStopping && isNew(parameters)) {
         const refusal = Err(createFailure('STOPPING'));
-        reportEnd(name, parameters, startedAt, refusal, createRequestNotes());
+        reportEnd(
+          name,
+          parameters,
+          startedAt,
+          refusal,
+          createRequestMetadata(),
+        );
         return settledFuture(refusal);
       }
       return startRequest(name, parameters, 'caller', serve, (result, notes) =>
@@ -259,7 +265,7 @@
     if (drained === undefined) {
       drained = createDeferred<undefined>();
       const cancel = timer.after(transactionTime, () => {
-        transactions.endAll();
+        transactions.rollBackAll();
         checkDrained();
       });
       drained.future.onSettled(cancel);
--- a/packages/rpc/__tests__/peer_links.spec.ts
+++ b/packages/rpc/__tests__/peer_links.spec.ts
@@ -62,7 +62,7 @@
   test('replace a connection that became unresponsive', () => {
     const {sendRequest, network, accepted} = startTwoProxies();
     sendRequest(ADDRESS, 'a');
-    network.silence('10.0.0.1', '10.0.0.2');
+    network.blackholeConnections('10.0.0.1', '10.0.0.2');
     expect(sendRequest(ADDRESS, 'b')).toEqual(['timeout, sent: true']);
     expect(sendRequest(ADDRESS, 'c')).toEqual(['c']);
     expect(accepted()).toEqual(2);
--- a/packages/runtime/__tests__/runtime.spec.ts
+++ b/packages/runtime/__tests__/runtime.spec.ts
@@ -10,9 +10,9 @@
   createRuntime,
   createVirtualTimer,
   receive,
-  receiveAtMost,
+  receiveWithTimeout,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '..';
 
@@ -76,8 +76,8 @@
     runtime.spawn(
       'reader',
       (function* () {
-        seen.push(yield* receiveAtMost(mailbox, 10));
-        seen.push(yield* receiveAtMost(mailbox, 10));
+        seen.push(yield* receiveWithTimeout(mailbox, 10));
+        seen.push(yield* receiveWithTimeout(mailbox, 10));
       })(),
     );
     timer.advance(10);
@@ -88,7 +88,10 @@
   test('stops waiting for a future at the timeout', () => {
     const {timer, runtime} = createVirtualRuntime();
     const deferred = createDeferred<string>();
-    const handle = runtime.spawn('waiter', waitAtMost(deferred.future, 10));
+    const handle = runtime.spawn(
+      'waiter',
+      waitWithTimeout(deferred.future, 10),
+    );
     timer.advance(11);
     const results: unknown[] = [];
     handle.result.onSettled(value => results.push(value));
--- a/packages/runtime/src/effect.ts
+++ b/packages/runtime/src/effect.ts
@@ -98,7 +98,7 @@
 }
 
 /** Waits for a future; `undefined` if it does not settle in the duration. */
-export function* waitAtMost<T>(
+export function* waitWithTimeout<T>(
   future: Future<T>,
   duration: Milliseconds,
 ): Task<T | undefined> {
--- a/packages/runtime/src/mailbox.ts
+++ b/packages/runtime/src/mailbox.ts
@@ -60,7 +60,7 @@
 }
 
 /** Waits for the next message; `undefined` if none arrives in the duration. */
-export function* receiveAtMost<M>(
+export function* receiveWithTimeout<M>(
   mailbox: Mailbox<M>,
   duration: Milliseconds,
 ): Task<M | undefined> {
--- a/packages/runtime/src/retry_backoff.ts
+++ b/packages/runtime/src/retry_backoff.ts
@@ -3,7 +3,7 @@
 import type {Milliseconds} from './timer';
 
 /** Bounds of the backoff before jitter. */
-export interface RetryPauseBounds {
+export interface RetryBackoffBounds {
   readonly first: Milliseconds;
   readonly longest: Milliseconds;
 }
@@ -17,8 +17,8 @@
  * Returns a pause that doubles with each earlier failure up to `longest`,
  * varied by jitter.
  */
-export function retryPause(
-  {first, longest}: RetryPauseBounds,
+export function retryBackoff(
+  {first, longest}: RetryBackoffBounds,
   earlierFailures: number,
   random: Random,
 ): Milliseconds {
--- a/packages/runtime/src/suspension_detector.ts
+++ b/packages/runtime/src/suspension_detector.ts
@@ -15,14 +15,16 @@
 /** Compares the wall clock with the monotonic clock on each call. */
 export interface SuspensionDetector {
   /** True if the machine may have been suspended since the previous call. */
-  hasSlept(): boolean;
+  wasSuspended(): boolean;
 }
 
 /** Creates a detector for suspensions from now on. */
-export function createSuspensionGuard(timer: TimerService): SuspensionDetector {
+export function createSuspensionDetector(
+  timer: TimerService,
+): SuspensionDetector {
   let offset = timer.wallClock() - timer.now();
   return {
-    hasSlept() {
+    wasSuspended() {
       const current = timer.wallClock() - timer.now();
       const suspended = Math.abs(current - offset) > TOLERATED_DIFFERENCE_MS;
       offset = current;
--- a/packages/runtime/src/virtual_timer.ts
+++ b/packages/runtime/src/virtual_timer.ts
@@ -2,7 +2,7 @@
 import {Milliseconds, TimerService} from './timer';
 
 /** Wall clock at the start of virtual time: 2026-01-01T00:00:00Z. */
-export const VIRTUAL_EPOCH: Milliseconds = Date.UTC(2026, 0, 1);
+export const VIRTUAL_EPOCH_MS: Milliseconds = Date.UTC(2026, 0, 1);
 
 /**
  * Minimum of positive delays. A remainder from rounding can be smaller than the
@@ -164,7 +164,7 @@
 
   return {
     now: () => time,
-    wallClock: () => VIRTUAL_EPOCH + Math.floor(time),
+    wallClock: () => VIRTUAL_EPOCH_MS + Math.floor(time),
     after,
     every,
     advance,
--- a/packages/scenarios/__tests__/client_accounts.spec.ts
+++ b/packages/scenarios/__tests__/client_accounts.spec.ts
@@ -120,10 +120,10 @@
     const hosts = proxies.map(simulation.hostOf);
     const [first = '', second = ''] = hosts;
     hosts.slice(2).forEach(host => {
-      relays.cut(first, host);
-      relays.cut(second, host);
+      relays.partition(first, host);
+      relays.partition(second, host);
     });
-    relays.cut(first, second);
+    relays.partition(first, second);
     simulation.store.faults.refused = new Set(proxies.slice(0, 2));
     simulation.configure({accounts: accountsAfterRevocation});
     timer.advance(6000);
--- a/packages/scenarios/__tests__/known_red.spec.ts
+++ b/packages/scenarios/__tests__/known_red.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {judgeRun, readKnownRed} from '../../../scripts/known_red';
+import {classifyFailures, readKnownFailures} from '../../../scripts/known_red';
 
 function failed(name: string, type: string): string {
   return `    not ok 1 - ${name}\n      ---\n      failureType: '${type}'\n`;
@@ -9,13 +9,15 @@
 
 describe('KNOWN-RED.txt', () => {
   test('allows the failure of the tests that it lists, and of no others', () => {
-    const listed = readKnownRed('# why\na.spec.ts "flaky one": cause; issue 4');
+    const listed = readKnownFailures(
+      '# why\na.spec.ts "flaky one": cause; issue 4',
+    );
     const tap =
       failed('flaky one', 'testCodeFailure') +
       failed('another', 'testCodeFailure') +
       failed('the suite', 'subtestsFailed');
-    expect(judgeRun(tap, listed)).toEqual({
-      knownRed: ['flaky one'],
+    expect(classifyFailures(tap, listed)).toEqual({
+      expected: ['flaky one'],
       unexpected: ['another'],
     });
   });
@@ -24,12 +26,12 @@
     const tap =
       failed('packages/a/__tests__/a.spec.ts', 'testCodeFailure') +
       failed('slow', 'testTimeoutFailure');
-    expect(judgeRun(tap, []).unexpected.length).toEqual(2);
+    expect(classifyFailures(tap, []).unexpected.length).toEqual(2);
   });
 
   test('accepts at most three lines, each with a quoted test name', () => {
     const four = ['a', 'b', 'c', 'd'].map(name => `"${name}"`).join('\n');
-    expect(() => readKnownRed(four)).toThrow('more than 3');
-    expect(() => readKnownRed('no name')).toThrow('names no test');
+    expect(() => readKnownFailures(four)).toThrow('more than 3');
+    expect(() => readKnownFailures('no name')).toThrow('names no test');
   });
 });
--- a/packages/scenarios/__tests__/primary_processes.spec.ts
+++ b/packages/scenarios/__tests__/primary_processes.spec.ts
@@ -7,7 +7,7 @@
   createProcessTable,
   createSessionCaller,
   eventually,
-  askTarget,
+  probeTarget,
   requestTarget,
   startProcessCluster,
   startWriteLoad,
@@ -67,7 +67,7 @@
     expect(next.term > lost.term).toEqual(true);
 
     await cluster.restartDatabase(lost.id);
-    await cluster.untilWhole();
+    await cluster.untilConverged();
     await load.untilConfirmed(ENTRY_COUNT);
     await load.stop();
     await expectListed('killed', load);
@@ -102,7 +102,7 @@
     await late;
     connection.close('answered');
 
-    await cluster.untilWhole();
+    await cluster.untilConverged();
     await load.untilConfirmed(ENTRY_COUNT);
     await load.stop();
     expect(next.id === lost.id).toEqual(false);
@@ -122,7 +122,7 @@
   });
 
   test('keeps its primary and serves while its connections are exhausted', async () => {
-    await cluster.untilWhole();
+    await cluster.untilConverged();
     const before = await cluster.untilPrimary('lima-1');
     const {address} = cluster.database(before.id);
     const refused: string[] = [];
@@ -153,11 +153,11 @@
     expect(refused.includes('CONNECTIONS_EXHAUSTED')).toEqual(true);
     expect(listed.sort()).toEqual(entries.sort());
     expect(during).toEqual(before);
-    await eventually('a free connection', () => askTarget(address));
+    await eventually('a free connection', () => probeTarget(address));
   });
 
   test('confirms no write without both replicas, and serves again with them', async () => {
-    const primary = await cluster.untilWhole();
+    const primary = await cluster.untilConverged();
     const caller = createSessionCaller({
       group: PROCESS_GROUP,
       proxies: cluster.callerAddresses,
@@ -174,7 +174,7 @@
     replicas.forEach(id => cluster.database(id).child.kill('SIGCONT'));
     expect(reply.ok).toEqual(false);
 
-    await cluster.untilWhole();
+    await cluster.untilConverged();
     await caller.append('alone', 'after');
     const listed = await caller.list('alone');
     expect(listed.includes('before') && listed.includes('after')).toEqual(true);
--- a/packages/scenarios/__tests__/proxy_processes.spec.ts
+++ b/packages/scenarios/__tests__/proxy_processes.spec.ts
@@ -9,7 +9,7 @@
   ProxyProcess,
   WriteLoad,
   appendStatement,
-  askTarget,
+  probeTarget,
   connectToTarget,
   createProcessTable,
   createSessionCaller,
@@ -86,7 +86,7 @@
 
   async function primaryEnd(): Promise<number> {
     const {id} = await cluster.untilPrimary('lima-2');
-    const status = await askTarget(cluster.database(id).address);
+    const status = await probeTarget(cluster.database(id).address);
     return status?.end.position ?? 0;
   }
 
@@ -179,7 +179,7 @@
       const learned = await cluster.untilPrimary(name, killed);
       await load.untilConfirmed(ENTRY_COUNT);
       await cluster.restartDatabase(killed.id);
-      const final = await cluster.untilWhole();
+      const final = await cluster.untilConverged();
       await load.stop();
       expect(learned.id).toEqual(next.id);
       expect(final).toEqual(next);
--- a/packages/scenarios/__tests__/quotas.spec.ts
+++ b/packages/scenarios/__tests__/quotas.spec.ts
@@ -126,7 +126,7 @@
       const {timer, relays, proxies} = simulation;
       const hosts = proxies.map(simulation.hostOf);
       timer.advance(WARM_UP_MS);
-      relays.cutGroups(hosts.slice(0, 3), hosts.slice(3));
+      relays.partitionGroups(hosts.slice(0, 3), hosts.slice(3));
       simulation.store.faults.refused = new Set(proxies.slice(0, 3));
       timer.advance(6000);
       relays.healAll();
--- a/packages/scenarios/__tests__/relayed_statements.spec.ts
+++ b/packages/scenarios/__tests__/relayed_statements.spec.ts
@@ -74,7 +74,7 @@
   const {timer, network, group} = simulation;
   timer.advance(WARM_UP_MS);
   const endpoint = simulation.endpointOf('proxy-1');
-  targets.forEach(target => network.cut(endpoint, target));
+  targets.forEach(target => network.partition(endpoint, target));
   const from = timer.now();
   timer.advance(FAULT_TIME_MS);
   const counts = simulation.counts.countsSince(from);
@@ -188,8 +188,8 @@
       const frozen = hosts.slice(0, 2);
       hosts
         .slice(2, 5)
-        .forEach(host => relays.silence(host, hosts[seed] ?? ''));
-      relays.cutGroups(hosts.slice(5, 7), hosts.slice(7));
+        .forEach(host => relays.blackholeConnections(host, hosts[seed] ?? ''));
+      relays.partitionGroups(hosts.slice(5, 7), hosts.slice(7));
       frozen.forEach(relays.freezeHost);
       timer.advance(SETTLING_TIME_MS);
       frozen.forEach(relays.thawHost);
--- a/packages/scenarios/__tests__/statement_sessions.spec.ts
+++ b/packages/scenarios/__tests__/statement_sessions.spec.ts
@@ -1,7 +1,10 @@
 import {expect} from 'earl';
 import {describe, test} from 'node:test';
 
-import {drawPair, playFaults} from '../src/statements/fault_simulation';
+import {
+  drawFaultPair,
+  simulateFaults,
+} from '../src/statements/fault_simulation';
 import {STATEMENT_FAULTS} from '../src/statements/random_faults';
 
 /** Time at which all faults have ended and the simulation has recovered. */
@@ -9,17 +12,17 @@
 
 describe('statement sessions', () => {
   test('are served without faults', () => {
-    const simulation = playFaults({seed: 1, faults: []});
+    const simulation = simulateFaults({seed: 1, faults: []});
     const {served, started} = simulation.counts;
     expect(simulation.checker.broken()).toEqual([]);
     expect(served / started > 0.99).toEqual(true);
-    expect(simulation.checker.acknowledged() > 100).toEqual(true);
+    expect(simulation.checker.acknowledgedCount() > 100).toEqual(true);
   });
 
   for (const fault of STATEMENT_FAULTS) {
     test(`violate no rule under the fault: ${fault}`, () => {
       for (const seed of [1, 2, 3]) {
-        const simulation = playFaults({seed, faults: [fault]});
+        const simulation = simulateFaults({seed, faults: [fault]});
         const {started, served} =
           simulation.counts.countsSince(RECOVERY_TIME_MS);
         expect(simulation.checker.broken()).toEqual([]);
@@ -30,9 +33,9 @@
 
   test('violate no rule under pairs of faults', () => {
     for (let seed = 1; seed <= 40; seed++) {
-      const broken = playFaults({
+      const broken = simulateFaults({
         seed,
-        faults: drawPair(seed),
+        faults: drawFaultPair(seed),
       }).checker.broken();
       expect({seed, broken}).toEqual({seed, broken: []});
     }
@@ -42,7 +45,7 @@
     // An acknowledgement of a later term must not confirm commits of an old
     // primary.
     const seed = 30209;
-    const {checker} = playFaults({seed, faults: drawPair(seed)});
+    const {checker} = simulateFaults({seed, faults: drawFaultPair(seed)});
     expect(checker.broken()).toEqual([]);
   });
 });
--- a/packages/scenarios/__tests__/succession.spec.ts
+++ b/packages/scenarios/__tests__/succession.spec.ts
@@ -136,7 +136,7 @@
       const {group, network, timer} = simulation;
       const replicas = ['target-2', 'target-3'];
       timer.advance(WARM_UP_MS);
-      replicas.forEach(target => network.cut(PRIMARY, target));
+      replicas.forEach(target => network.partition(PRIMARY, target));
       const isReplaced = timer.runUntil(
         () => replicas.some(name => group.target(name).role() === 'primary'),
         2 * DECISION_TIME_MS + PROMOTION_TIME_MS,
--- a/packages/scenarios/src/processes/direct_target.ts
+++ b/packages/scenarios/src/processes/direct_target.ts
@@ -38,7 +38,7 @@
 /**
  * Probes a target's status over a new connection; undefined if the probe fails.
  */
-export async function askTarget(
+export async function probeTarget(
   address: string,
 ): Promise<TargetStatus | undefined> {
   const peer = await connectToTarget(address);
--- a/packages/scenarios/src/processes/process_cluster.ts
+++ b/packages/scenarios/src/processes/process_cluster.ts
@@ -3,7 +3,7 @@
 import type {TargetStatus} from '@kelpstep/protocol';
 import {ProxyStatus, manifestCommit, proxyStatus} from '@kelpstep/proxy';
 
-import {askTarget} from './direct_target';
+import {probeTarget} from './direct_target';
 import {eventually} from './eventually';
 import {
   OPERATOR_TOKEN,
@@ -56,7 +56,7 @@
    * Waits until one member is primary, all others follow it and the logs of all
    * members end in the same term.
    */
-  untilWhole(): Promise<KnownPrimary>;
+  untilConverged(): Promise<KnownPrimary>;
   /** Commits the manifest with the members in `leaving` in state `leaving`. */
   commit(
     proxy: string,
@@ -205,7 +205,7 @@
   function untilConverged(): Promise<KnownPrimary> {
     return eventually('all members to follow one primary', async () => {
       const statuses = await Promise.all(
-        MEMBERS.map(id => askTarget(database(id).address)),
+        MEMBERS.map(id => probeTarget(database(id).address)),
       );
       const primary = statuses.find(each => each?.role === 'primary');
       return primary !== undefined && areConverged(statuses)
@@ -240,7 +240,7 @@
     startProxy,
     status,
     untilPrimary,
-    untilWhole: untilConverged,
+    untilConverged,
     commit,
     untilInForce,
   };
--- a/packages/scenarios/src/scenario_actions.ts
+++ b/packages/scenarios/src/scenario_actions.ts
@@ -46,17 +46,17 @@
 
   function isolate(host: string): void {
     const others = allHosts().filter(other => other !== host);
-    network.cutGroups([host], others);
+    network.partitionGroups([host], others);
   }
 
   function isolateFromGroup({host, dataCentre}: FleetTarget): void {
     const local = cluster.hostsOf(dataCentre);
-    network.cutGroups(
+    network.partitionGroups(
       [host],
       allHosts().filter(other => !local.includes(other)),
     );
     const members = targets.targets.map(other => other.host);
-    network.cutGroups(
+    network.partitionGroups(
       [host],
       members.filter(other => other !== host),
     );
@@ -66,13 +66,13 @@
     const index = deployment.dataCentres.indexOf(name);
     const inside = cluster.hostsOf(index);
     const outside = allHosts().filter(host => !inside.includes(host));
-    network.cutGroups(inside, outside);
+    network.partitionGroups(inside, outside);
   }
 
   function silence(name: string): void {
     const host = proxies.hostOf(name);
     for (const {host: other} of targets.targets) {
-      network.silence(host, other);
+      network.blackholeConnections(host, other);
     }
   }
 
--- a/packages/scenarios/src/statements/fault_simulation.ts
+++ b/packages/scenarios/src/statements/fault_simulation.ts
@@ -24,13 +24,13 @@
 const PAIR_SEED_OFFSET = 1_000_000;
 
 /** Draws two faults from a seed. */
-export function drawPair(seed: number): StatementFault[] {
+export function drawFaultPair(seed: number): StatementFault[] {
   const random = createRandom(seed + PAIR_SEED_OFFSET);
   return [random.pick(STATEMENT_FAULTS), random.pick(STATEMENT_FAULTS)];
 }
 
 /** Runs a simulation to its end and returns it in its final state. */
-export function playFaults(run: FaultSimulation): StatementSimulation {
+export function simulateFaults(run: FaultSimulation): StatementSimulation {
   const {faults, ...options} = run;
   const simulation = createStatementSimulation({
     ...options,
--- a/packages/scenarios/src/statements/random_faults.ts
+++ b/packages/scenarios/src/statements/random_faults.ts
@@ -64,7 +64,7 @@
   }
 
   function partition(from: string, peers: readonly string[]): void {
-    peers.forEach(peer => network.cut(from, peer));
+    peers.forEach(peer => network.partition(from, peer));
     scheduleEnd(() => peers.forEach(peer => network.heal(from, peer)));
   }
 
@@ -106,21 +106,21 @@
       return;
     case 'only copy silent': {
       const peer = replicas.filter(name => name !== replica);
-      group.target(replica).setDeaf(true);
+      group.target(replica).setReplicationBlocked(true);
       timer.after(duration / 4, () => {
         crash(primary);
         peer.forEach(name => partition(name, endpoints));
       });
-      scheduleEnd(() => group.target(replica).setDeaf(false));
+      scheduleEnd(() => group.target(replica).setReplicationBlocked(false));
       return;
     }
     case 'deaf replica':
     case 'deaf replica, then crash':
-      group.target(replica).setDeaf(true);
+      group.target(replica).setReplicationBlocked(true);
       if (fault === 'deaf replica, then crash') {
         timer.after(duration / 2, () => crash(primary));
       }
-      scheduleEnd(() => group.target(replica).setDeaf(false));
+      scheduleEnd(() => group.target(replica).setReplicationBlocked(false));
       return;
     case 'leaving primary':
       simulation.setLeaving(primary, true);
@@ -135,12 +135,12 @@
       scheduleEnd(() => (store.faults.silent = new Set()));
       return;
     case 'store loses answers':
-      store.faults.lostAnswers = 0.4;
-      scheduleEnd(() => (store.faults.lostAnswers = 0));
+      store.faults.lostAnswerShare = 0.4;
+      scheduleEnd(() => (store.faults.lostAnswerShare = 0));
       return;
     case 'store writes late':
-      store.faults.lateWrites = 0.4;
-      scheduleEnd(() => (store.faults.lateWrites = 0));
+      store.faults.lateWriteShare = 0.4;
+      scheduleEnd(() => (store.faults.lateWriteShare = 0));
       return;
     case 'store compacts':
       store.compact();
--- a/packages/scenarios/src/statements/rule_checker.ts
+++ b/packages/scenarios/src/statements/rule_checker.ts
@@ -69,7 +69,7 @@
   /** Operations of an account that targets ran. */
   operationsOf(account: string): readonly RunOperation[];
   broken(): readonly BrokenRule[];
-  acknowledged(): number;
+  acknowledgedCount(): number;
 }
 
 /** An operation as quotas count it: a transaction counts once. */
@@ -298,7 +298,7 @@
     finish,
     operationsOf: account => operations.get(account) ?? [],
     broken: () => findings,
-    acknowledged: () => acknowledged.length,
+    acknowledgedCount: () => acknowledged.length,
   };
 }
 
--- a/packages/scenarios/src/statements/session_callers.ts
+++ b/packages/scenarios/src/statements/session_callers.ts
@@ -13,7 +13,7 @@
   createDeferred,
   createMailbox,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
 } from '@kelpstep/runtime';
 import type {SessionStatement, StatementAnswer} from '@kelpstep/statements';
 
@@ -103,7 +103,7 @@
     session.answer = answer => void result.settle(answer);
     const request = {id, statement};
     session.connection.messages.post({kind: 'request', request});
-    const answer = yield* waitAtMost(result.future, ANSWER_TIMEOUT_MS);
+    const answer = yield* waitWithTimeout(result.future, ANSWER_TIMEOUT_MS);
     if (answer === undefined) {
       session.connection.close();
     }
--- a/packages/scenarios/src/statements/statement_simulation.ts
+++ b/packages/scenarios/src/statements/statement_simulation.ts
@@ -7,7 +7,7 @@
   createStatementProxy,
 } from '@kelpstep/gateway';
 import {
-  WORTH_PER_SLOT_TIME,
+  VALUE_PER_SLOT_TIME,
   createAdaptiveLimit,
   spreadRetryAfter,
 } from '@kelpstep/pool';
@@ -166,17 +166,17 @@
     targets: TARGETS,
     slots,
     connectionLimit,
-    workTime: 12,
-    openingTime: options.openingTime ?? 0,
-    promotionTime: options.promotionTime ?? 300,
+    statementDuration: 12,
+    connectionSetupDuration: options.openingTime ?? 0,
+    promotionDuration: options.promotionTime ?? 300,
     applyDelay: () => 4 + 20 * faultRandom.fraction(),
-    orderDelay: () =>
+    commandDelay: () =>
       simulation.lateTargetCommandShare > 0 &&
       faultRandom.fraction() < simulation.lateTargetCommandShare
         ? MINIMUM_TARGET_COMMAND_DELAY_MS +
           COMMAND_DELAY_SPAN_MS * faultRandom.fraction()
         : 0,
-    losesAnswer: () => faultRandom.fraction() < simulation.lostAnswerShare,
+    shouldDropAnswer: () => faultRandom.fraction() < simulation.lostAnswerShare,
   });
   const proxies = Array.from(
     {length: options.proxies ?? 4},
@@ -237,7 +237,7 @@
       transport: relays.transportFor(hostOf(proxy)),
       capacity: 1,
       store: store.clientOf(proxy),
-      delays: {...STALENESS_BOUNDS, revocation: options.revocation},
+      stalenessBounds: {...STALENESS_BOUNDS, revocation: options.revocation},
       quotaTolerance: options.quotaTolerance,
       layout: {
         configurationTable: CONFIGURATION_TABLE,
@@ -263,7 +263,7 @@
       readStatus,
       orderPromotion,
       policies: {
-        queue: WORTH_PER_SLOT_TIME,
+        queue: VALUE_PER_SLOT_TIME,
         createConcurrencyLimit: createAdaptiveLimit,
         retryAfter: spreadRetryAfter,
       },
@@ -283,7 +283,7 @@
 
   function cutPower(proxy: string): void {
     const endpoint = endpointOf(proxy);
-    TARGETS.forEach(target => network.cut(endpoint, target));
+    TARGETS.forEach(target => network.partition(endpoint, target));
     killProxy(proxy);
     timer.after(LINGER_TIME_MS, () =>
       TARGETS.forEach(target => network.heal(endpoint, target)),
--- a/packages/stand-ins/__tests__/fake_network.spec.ts
+++ b/packages/stand-ins/__tests__/fake_network.spec.ts
@@ -124,7 +124,7 @@
   test('blocks traffic in a partition, then retransmits messages', () => {
     const {timer, network, connect, call, dial, arrived} = createNetwork();
     const peer = connect();
-    network.cut(CLIENT, SERVER);
+    network.partition(CLIENT, SERVER);
     const answers = call(peer, 1);
     const outcome = dial(100);
     timer.advance(150);
@@ -140,7 +140,7 @@
   test('can partition one direction only', () => {
     const {timer, network, connect, call, arrived} = createNetwork();
     const peer = connect();
-    network.cutGroups([SERVER], [CLIENT], 'one-way');
+    network.partitionGroups([SERVER], [CLIENT], 'one-way');
     const answers = call(peer, 1);
     timer.advance(100);
     expect(arrived).toEqual([1]);
@@ -150,7 +150,7 @@
   test('can drop the messages of open connections while new ones work', () => {
     const {timer, network, connect, call, arrived} = createNetwork();
     const old = connect();
-    network.silence(CLIENT, SERVER);
+    network.blackholeConnections(CLIENT, SERVER);
     const lost = call(old, 1);
     const answers = call(connect(), 2);
     timer.advance(100);
--- a/packages/stand-ins/__tests__/group.ts
+++ b/packages/stand-ins/__tests__/group.ts
@@ -12,7 +12,7 @@
   targetPromote,
 } from '@kelpstep/protocol';
 import {
-  VIRTUAL_EPOCH,
+  VIRTUAL_EPOCH_MS,
   createRandom,
   createRuntime,
   createVirtualTimer,
@@ -41,7 +41,7 @@
 
 /** Creates a key issued `age` milliseconds before virtual time began. */
 export function createKey(id: string, age = 0): IdempotencyKey {
-  return {id, issuedAt: VIRTUAL_EPOCH - age};
+  return {id, issuedAt: VIRTUAL_EPOCH_MS - age};
 }
 
 /** Outcome of a request: its result, or the name of its failure. */
--- a/packages/stand-ins/__tests__/replication.spec.ts
+++ b/packages/stand-ins/__tests__/replication.spec.ts
@@ -119,7 +119,10 @@
     write(connect(1), 1, entry('kept'));
     catchUp(2, 1);
     catchUp(3, 1);
-    network.cutGroups([hostOfMember(1)], [hostOfMember(2), hostOfMember(3)]);
+    network.partitionGroups(
+      [hostOfMember(1)],
+      [hostOfMember(2), hostOfMember(3)],
+    );
     write(connect(1), 1, entry('lost'), createKey('lost'));
     write(connect(1), 1, entry('lost too'));
     promote(2, 2, [3]);
@@ -230,7 +233,7 @@
     const {promote, connect, write, catchUp, network, timer} = createGroup(2);
     promote(1, 1);
     catchUp(2, 1);
-    network.silence(hostOfMember(1), hostOfMember(2));
+    network.blackholeConnections(hostOfMember(1), hostOfMember(2));
     write(connect(1), 1, entry('a'));
     timer.advance(100);
     catchUp(2, 1);
@@ -264,8 +267,8 @@
       );
       promote(1, 1);
       write(connect(1), 1, entry('a'));
-      network.cut(hostOfMember(1), hostOfMember(2));
-      network.silence(PROXY, hostOfMember(1));
+      network.partition(hostOfMember(1), hostOfMember(2));
+      network.blackholeConnections(PROXY, hostOfMember(1));
       write(connect(1), 1, entry('b'));
       timer.advance(2000);
       network.healAll();
--- a/packages/stand-ins/src/free_addresses.ts
+++ b/packages/stand-ins/src/free_addresses.ts
@@ -5,7 +5,7 @@
 const ANY_PORT = '127.0.0.1:0';
 
 /** Returns distinct addresses on 127.0.0.1 that no process listens on. */
-export async function freeAddresses(count: number): Promise<string[]> {
+export async function findFreeAddresses(count: number): Promise<string[]> {
   const transport = createTcpTransport();
   const listeners = [];
   for (let index = 0; index < count; index++) {
--- a/packages/stand-ins/src/network/fake_network.ts
+++ b/packages/stand-ins/src/network/fake_network.ts
@@ -36,24 +36,24 @@
   /** Returns the timer service of the process on a host. */
   timerFor(host: string): HostTimer;
   /** Partitions two hosts, or blocks only the direction `from` to `to`. */
-  cut(from: string, to: string, direction?: CutDirection): void;
+  partition(from: string, to: string, direction?: PartitionDirection): void;
   /** Partitions every host of one list from every host of the other. */
-  cutGroups(
+  partitionGroups(
     from: readonly string[],
     to: readonly string[],
-    direction?: CutDirection,
+    direction?: PartitionDirection,
   ): void;
   /** Ends the partition between two hosts in both directions. */
   heal(left: string, right: string): void;
   /** Ends all partitions. */
   healAll(): void;
   /** True if packets from one host can't reach the other. */
-  isCut(from: string, to: string): boolean;
+  isPartitioned(from: string, to: string): boolean;
   /**
    * Drops all frames on the open connections between two hosts, including
    * frames in flight.
    */
-  silence(left: string, right: string): void;
+  blackholeConnections(left: string, right: string): void;
   /** Kills the process: its connections are reset and dials are refused. */
   killHost(host: string): void;
   /** Removes the host: its connections get no answer and dials time out. */
@@ -81,7 +81,7 @@
 }
 
 /** Directions that a partition blocks. */
-export type CutDirection = 'both' | 'one-way';
+export type PartitionDirection = 'both' | 'one-way';
 
 const DEFAULT_LATENCY_MS: Milliseconds = 0.5;
 
@@ -207,11 +207,11 @@
   function partitionPairs(
     from: readonly string[],
     to: readonly string[],
-    direction: CutDirection = 'both',
+    direction: PartitionDirection = 'both',
   ): void {
     for (const left of from) {
       for (const right of to) {
-        links.cut(left, right, direction === 'both');
+        links.partition(left, right, direction === 'both');
       }
     }
   }
@@ -233,12 +233,12 @@
         connect: connections.connect,
       }),
     timerFor: host => processOf(host).timer,
-    cut: (from, to, direction) => partitionPairs([from], [to], direction),
-    cutGroups: partitionPairs,
+    partition: (from, to, direction) => partitionPairs([from], [to], direction),
+    partitionGroups: partitionPairs,
     heal,
     healAll,
-    isCut: (from, to) => !links.canReach(from, to),
-    silence: dropFrames,
+    isPartitioned: (from, to) => !links.canReach(from, to),
+    blackholeConnections: dropFrames,
     killHost,
     removeHost,
     freezeHost: host => processOf(host).timer.freeze(),
--- a/packages/stand-ins/src/network/host_links.ts
+++ b/packages/stand-ins/src/network/host_links.ts
@@ -5,7 +5,7 @@
   add(host: string): void;
   remove(host: string): void;
   /** Blocks the direction `from` to `to`, or both directions. */
-  cut(from: string, to: string, both: boolean): void;
+  partition(from: string, to: string, both: boolean): void;
   /** Unblocks both directions. */
   heal(left: string, right: string): void;
   /** Blocked directions. */
@@ -26,7 +26,7 @@
   return {
     add: host => hosts.add(host),
     remove: host => hosts.delete(host),
-    cut(from, to, both) {
+    partition(from, to, both) {
       block(from, to);
       if (both) {
         block(to, from);
--- a/packages/stand-ins/src/statement_group/link_network.ts
+++ b/packages/stand-ins/src/statement_group/link_network.ts
@@ -20,10 +20,10 @@
     receive: () => void,
     isReset?: () => boolean,
   ): void;
-  cut(left: string, right: string): void;
+  partition(left: string, right: string): void;
   heal(left: string, right: string): void;
   healAll(): void;
-  isCut(left: string, right: string): boolean;
+  isPartitioned(left: string, right: string): boolean;
 }
 
 function pairOf(left: string, right: string): string {
@@ -78,12 +78,12 @@
 
   return {
     deliver,
-    cut(left, right) {
+    partition(left, right) {
       const pair = pairOf(left, right);
       heldMessages.set(pair, heldMessages.get(pair) ?? []);
     },
     heal: (left, right) => healPair(pairOf(left, right)),
     healAll: () => [...heldMessages.keys()].forEach(healPair),
-    isCut: (left, right) => heldMessages.has(pairOf(left, right)),
+    isPartitioned: (left, right) => heldMessages.has(pairOf(left, right)),
   };
 }
--- a/packages/stand-ins/src/statement_group/stand_in_group.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_group.ts
@@ -38,22 +38,22 @@
   readonly targets: readonly string[];
   readonly slots: number;
   readonly connectionLimit: number;
-  readonly workTime: Milliseconds;
+  readonly statementDuration: Milliseconds;
   /** Time for which a new connection occupies a slot; 0 by default. */
-  readonly openingTime?: Milliseconds;
-  readonly promotionTime: Milliseconds;
+  readonly connectionSetupDuration?: Milliseconds;
+  readonly promotionDuration: Milliseconds;
   /** Returns the delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
   /**
    * Returns the delay of the next pause, resume or demote command to a target.
    * A delayed command is not answered; 0 executes and answers it immediately.
    */
-  orderDelay(): Milliseconds;
+  commandDelay(): Milliseconds;
   /**
    * Called for each executed batch of requests; returns true to drop its
    * answers.
    */
-  losesAnswer(): boolean;
+  shouldDropAnswer(): boolean;
 }
 
 /** A group and its test controls. */
@@ -131,11 +131,11 @@
       target: name,
       group,
       slots: options.slots,
-      workTime: options.workTime,
-      openingTime: options.openingTime ?? 0,
+      statementDuration: options.statementDuration,
+      connectionSetupDuration: options.connectionSetupDuration ?? 0,
       recorder,
       applyDelay: options.applyDelay,
-      orderDelay: options.orderDelay,
+      commandDelay: options.commandDelay,
       onAppended: (previous, record) => replicate(created, previous, record),
     });
     targets.set(name, created);
@@ -182,7 +182,7 @@
     if (next.role() === 'primary' && name === primaryName) {
       return true;
     }
-    timer.after(options.promotionTime, () =>
+    timer.after(options.promotionDuration, () =>
       completePromotion(next, epoch, holder),
     );
     return true;
@@ -299,7 +299,7 @@
         waiting.add(settle);
         const cancel = timer.after(timeout, () => settle('timed out'));
         function sendAnswers(answers: readonly StatementAnswer[]): void {
-          if (options.losesAnswer()) {
+          if (options.shouldDropAnswer()) {
             return;
           }
           network.deliver(target.target, from, () => {
--- a/packages/stand-ins/src/statement_group/stand_in_store.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_store.ts
@@ -26,9 +26,9 @@
   /** Tables for which the `silent` clients get no answer. */
   silentTables: Set<string> | 'all';
   /** Share of writes that take effect but get no answer, 0 to 1. */
-  lostAnswers: number;
+  lostAnswerShare: number;
   /** Share of writes that get no answer and take effect late, 0 to 1. */
-  lateWrites: number;
+  lateWriteShare: number;
 }
 
 /** A table store and its test controls. */
@@ -47,7 +47,7 @@
    * Drops the pending change requests of a table, or of all tables by default.
    * They get no answer; later requests are not affected.
    */
-  loseOpenQuestions(table?: string): void;
+  dropPendingChangeRequests(table?: string): void;
   /** Number of calls so far, including refused ones. */
   calls(): number;
   readonly faults: StoreFaults;
@@ -84,8 +84,8 @@
     refused: new Set(),
     silent: new Set(),
     silentTables: 'all',
-    lostAnswers: 0,
-    lateWrites: 0,
+    lostAnswerShare: 0,
+    lateWriteShare: 0,
   };
   let calls = 0;
   let version = 0;
@@ -231,14 +231,14 @@
       awaitChanges,
       replaceRow: (table, key, expected, value) =>
         call(table, settle => {
-          if (random.fraction() < faults.lateWrites) {
+          if (random.fraction() < faults.lateWriteShare) {
             const delay = MAXIMUM_WRITE_DELAY_MS * random.fraction();
             timer.after(delay, () => replace(table, key, expected, value));
             timer.after(CALL_TIMEOUT_MS, () => settle(Err('unanswered')));
             return;
           }
           const reply = replace(table, key, expected, value);
-          if (random.fraction() < faults.lostAnswers) {
+          if (random.fraction() < faults.lostAnswerShare) {
             timer.after(CALL_TIMEOUT_MS, () => settle(Err('unanswered')));
           } else {
             settle(reply);
@@ -256,7 +256,7 @@
       removed.clear();
       answerReadyRequests();
     },
-    loseOpenQuestions(table) {
+    dropPendingChangeRequests(table) {
       for (const request of pendingRequests) {
         if (table === undefined || request.table === table) {
           pendingRequests.delete(request);
--- a/packages/stand-ins/src/statement_group/stand_in_target.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target.ts
@@ -43,7 +43,11 @@
   let isReplicationBlocked = false;
   let running = true;
   let nextNumber = 1;
-  const slots = createTargetSlots(timer, options.slots, options.workTime);
+  const slots = createTargetSlots(
+    timer,
+    options.slots,
+    options.statementDuration,
+  );
   const pendingCommits = createPendingCommits();
 
   function receive(
@@ -277,7 +281,7 @@
     const {kind} = request.body;
     const isCommand =
       kind === 'pause' || kind === 'resume' || kind === 'demote';
-    const delay = isCommand ? options.orderDelay() : 0;
+    const delay = isCommand ? options.commandDelay() : 0;
     if (delay > 0) {
       const session = sessions.get(number);
       timer.after(delay, () => executeRequest(session, request, () => {}));
@@ -348,7 +352,7 @@
       [running, isPaused, role] = [true, false, 'replica'];
       log.restart(wiped);
     },
-    setDeaf: isBlocked => void (isReplicationBlocked = isBlocked),
+    setReplicationBlocked: isBlocked => void (isReplicationBlocked = isBlocked),
     receive,
     follow(nextTerm, primaryLog) {
       role = 'replica';
@@ -371,10 +375,10 @@
         sessions.set(number, createTargetSession(number, user));
         done(number);
       }
-      if (options.openingTime === 0) {
+      if (options.connectionSetupDuration === 0) {
         add();
       } else {
-        slots.run(add, () => {}, options.openingTime);
+        slots.run(add, () => {}, options.connectionSetupDuration);
       }
     },
     connections: () => sessions.size,
--- a/packages/stand-ins/src/statement_group/stand_in_target_types.ts
+++ b/packages/stand-ins/src/statement_group/stand_in_target_types.ts
@@ -11,9 +11,9 @@
   readonly target: string;
   readonly group: string;
   readonly slots: number;
-  readonly workTime: Milliseconds;
+  readonly statementDuration: Milliseconds;
   /** Time for which a new connection occupies a slot. */
-  readonly openingTime: Milliseconds;
+  readonly connectionSetupDuration: Milliseconds;
   readonly recorder: RunRecorder;
   /** Returns the delay between receiving a record and applying it. */
   applyDelay(): Milliseconds;
@@ -21,7 +21,7 @@
    * Returns the delay of the next pause, resume or demote command. A delayed
    * command is not answered; 0 executes and answers it immediately.
    */
-  orderDelay(): Milliseconds;
+  commandDelay(): Milliseconds;
   /** Called when a primary has appended a record, to replicate it. */
   onAppended(previous: LogPosition, record: LogRecord): void;
 }
@@ -42,7 +42,7 @@
   /** Starts the process as a replica, with an empty log if it is wiped. */
   start(wiped: boolean): void;
   /** Blocks or unblocks the receipt of records. */
-  setDeaf(isBlocked: boolean): void;
+  setReplicationBlocked(isBlocked: boolean): void;
   /** Appends records that follow a position; false if it can't take them. */
   receive(
     term: number,
--- a/packages/statements/__tests__/session_settings.spec.ts
+++ b/packages/statements/__tests__/session_settings.spec.ts
@@ -7,9 +7,9 @@
   type SessionSettings,
   applyLocally,
   createSessionSettings,
-  noteApplied,
+  recordApplied,
   planDifference,
-  sharedName,
+  sharedStatementName,
 } from '../src/session_settings';
 import type {TargetRequest} from '../src/target_connection';
 
@@ -68,11 +68,11 @@
             shape,
             isInTransaction: false,
           });
-          noteApplied(applied, requests);
+          recordApplied(applied, requests);
           applyAtTarget(target, requests);
           expect(target.values).toEqual(session.values);
           if (shape !== undefined) {
-            const prepared = target.prepared.get(sharedName(shape));
+            const prepared = target.prepared.get(sharedStatementName(shape));
             expect(prepared).toEqual(shape);
           }
         }
@@ -97,7 +97,9 @@
       fc.property(shapes, shapes, (left: PreparedShape, right) => {
         const isSame =
           left.access === right.access && left.shape === right.shape;
-        expect(sharedName(left) === sharedName(right)).toEqual(isSame);
+        expect(
+          sharedStatementName(left) === sharedStatementName(right),
+        ).toEqual(isSame);
       }),
       {seed: 2},
     );
--- a/packages/statements/src/session_settings.ts
+++ b/packages/statements/src/session_settings.ts
@@ -32,7 +32,7 @@
  * only on the access and the shape, so sessions share it whatever name each of
  * them uses.
  */
-export function sharedName({access, shape}: PreparedShape): string {
+export function sharedStatementName({access, shape}: PreparedShape): string {
   const prefix = access === 'read' ? 'r' : 'w';
   return `${prefix}_${Buffer.from(shape).toString('hex')}`;
 }
@@ -122,7 +122,7 @@
     }
   }
   if (shape !== undefined) {
-    const name = sharedName(shape);
+    const name = sharedStatementName(shape);
     if (mustReset || !applied.prepared.has(name)) {
       requests.push({body: {kind: 'prepare', name, ...shape}});
     }
@@ -131,7 +131,7 @@
 }
 
 /** Updates `applied`, the settings of a connection, by requests sent on it. */
-export function noteApplied(
+export function recordApplied(
   applied: SessionSettings,
   requests: readonly TargetRequest[],
 ): void {
--- a/packages/statements/src/target_connection.ts
+++ b/packages/statements/src/target_connection.ts
@@ -39,7 +39,7 @@
 }
 
 /** A command from the proxy itself to a target. */
-export type TargetOrder =
+export type TargetCommand =
   ResetCommand | StatusCommand | PauseCommand | ResumeCommand | DemoteCommand;
 
 /** A statement or a command, as it is sent to a target. */
@@ -49,7 +49,7 @@
    * and commands of the proxy itself.
    */
   readonly id?: string;
-  readonly body: SessionStatement | TargetOrder;
+  readonly body: SessionStatement | TargetCommand;
   /** The target refuses the request unless its log includes this position. */
   readonly after?: LogPosition;
 }
--- a/packages/succession/__tests__/succession_row_writer.spec.ts
+++ b/packages/succession/__tests__/succession_row_writer.spec.ts
@@ -51,10 +51,10 @@
 describe('the writer of a succession row', () => {
   test('continues at once after a write whose answer was lost', () => {
     const {timer, store, write, results} = startWriter();
-    store.faults.lostAnswers = 1;
+    store.faults.lostAnswerShare = 1;
     write({});
     timer.advance(400);
-    store.faults.lostAnswers = 0;
+    store.faults.lostAnswerShare = 0;
     write({phase: 'ordered', target: 'target-2'});
     timer.advance(100);
     expect(results.map(({isWritten}) => isWritten)).toEqual([true, true]);
@@ -62,10 +62,10 @@
 
   test('retries a write that was not applied', () => {
     const {timer, store, write, results} = startWriter();
-    store.faults.lateWrites = 1;
+    store.faults.lateWriteShare = 1;
     write({});
     timer.advance(200);
-    store.faults.lateWrites = 0;
+    store.faults.lateWriteShare = 0;
     timer.advance(10_000);
     write({phase: 'done'});
     timer.advance(100);
--- a/packages/succession/index.ts
+++ b/packages/succession/index.ts
@@ -2,4 +2,4 @@
 export * from './src/choose_successor';
 export * from './src/succession_monitor';
 export * from './src/succession_row';
-export type {SuccessionOutcome as ChangeOutcome} from './src/succession_steps';
+export type {SuccessionOutcome} from './src/succession_steps';
--- a/packages/succession/src/succession_monitor.ts
+++ b/packages/succession/src/succession_monitor.ts
@@ -17,7 +17,7 @@
 import type {SuccessorCandidate} from './choose_successor';
 import {
   type OrderPromotion,
-  SUCCESSION_PREFIX,
+  SUCCESSION_KEY_PREFIX,
   type Succession,
 } from './succession_row';
 import {
@@ -81,7 +81,7 @@
 }
 
 /** Handle of the monitoring of one group. */
-export interface SuccessionWatch {
+export interface SuccessionMonitor {
   stop(): void;
 }
 
@@ -121,12 +121,12 @@
 const FAILED_CHANGE_BACKOFF_MS: Milliseconds = 700;
 
 /** Monitors the group and changes its primary when necessary, until `stop`. */
-export function watchSuccession(
+export function startSuccessionMonitor(
   options: SuccessionMonitorOptions,
-): SuccessionWatch {
+): SuccessionMonitor {
   const {runtime, group, store, self, events} = options;
   const {timer, random} = runtime;
-  const key = SUCCESSION_PREFIX + group.group;
+  const key = SUCCESSION_KEY_PREFIX + group.group;
   const steps = createSuccessionSteps({...options, onStep: events.onStep});
   let missingSince: Milliseconds | undefined;
 
@@ -143,7 +143,7 @@
         timer.now() - missingSince >= PRIMARY_MISSING_TIMEOUT_MS;
       return isOverdue ? 'missing' : undefined;
     }
-    const silentSince = leader.silentSince();
+    const silentSince = leader.unresponsiveSince();
     if (
       silentSince !== undefined &&
       timer.now() - silentSince >= PRIMARY_LOST_TIMEOUT_MS
--- a/packages/succession/src/succession_row.ts
+++ b/packages/succession/src/succession_row.ts
@@ -6,7 +6,7 @@
 import {z} from 'zod';
 
 /** Prefix of the row keys, which is followed by the name of the group. */
-export const SUCCESSION_PREFIX = 'succession/';
+export const SUCCESSION_KEY_PREFIX = 'succession/';
 
 /**
  * `stopping`: replicas are being paused and compared. `ordered`: the promotion
--- a/packages/succession/src/succession_row_writer.ts
+++ b/packages/succession/src/succession_row_writer.ts
@@ -5,7 +5,7 @@
   type Milliseconds,
   type Task,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import {Ok, type Result} from 'ts-results';
@@ -80,7 +80,7 @@
     next: Succession,
   ): Task<WriteResult> {
     for (;;) {
-      const result = yield* waitAtMost(answer, READ_BACK_DELAY_MS);
+      const result = yield* waitWithTimeout(answer, READ_BACK_DELAY_MS);
       if (result !== undefined) {
         return result;
       }
--- a/packages/succession/src/succession_steps.ts
+++ b/packages/succession/src/succession_steps.ts
@@ -8,12 +8,12 @@
   type Runtime,
   type Task,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import type {
   ReadTargetStatus,
-  TargetOrder,
+  TargetCommand,
   TargetStatus,
 } from '@kelpstep/statements';
 import type {TargetGroup, TargetLink} from '@kelpstep/targets';
@@ -176,7 +176,7 @@
 
   /** Probes all targets in parallel; omits those that don't answer. */
   function* probeStatuses(links: readonly TargetLink[]): Task<ProbedTarget[]> {
-    const probes = links.map(link => ({link, answer: link.askStatus()}));
+    const probes = links.map(link => ({link, answer: link.probeStatus()}));
     const probed: ProbedTarget[] = [];
     for (const {link, answer} of probes) {
       const status = yield* waitFor(answer);
@@ -195,7 +195,7 @@
     if (leader === undefined) {
       return false;
     }
-    const status = yield* waitFor(leader.askStatus());
+    const status = yield* waitFor(leader.probeStatus());
     if (status?.role !== 'primary') {
       return false;
     }
@@ -224,9 +224,9 @@
 
   function* sendOrder(
     link: TargetLink,
-    request: TargetOrder,
+    request: TargetCommand,
   ): Task<TargetStatus | undefined> {
-    const reply = yield* waitFor(link.order(request, ORDER_TIMEOUT_MS));
+    const reply = yield* waitFor(link.sendCommand(request, ORDER_TIMEOUT_MS));
     return reply.ok ? options.readStatus(reply.val) : undefined;
   }
 
@@ -281,7 +281,7 @@
         .filter(({target}) => !paused.has(target))
         .map(link => ({
           link,
-          reply: link.order({kind: 'pause', term}, ORDER_TIMEOUT_MS),
+          reply: link.sendCommand({kind: 'pause', term}, ORDER_TIMEOUT_MS),
         }));
       for (const {link, reply} of requests) {
         const answer = yield* waitFor(reply);
@@ -323,7 +323,7 @@
         epoch,
       });
       const reply =
-        (yield* waitAtMost(pendingReply, PROMOTION_REPLY_TIMEOUT_MS)) ??
+        (yield* waitWithTimeout(pendingReply, PROMOTION_REPLY_TIMEOUT_MS)) ??
         'unanswered';
       onStep(`promotion ${reply}`, target, epoch);
       const leadershipTimeout =
@@ -351,7 +351,7 @@
       if (link === undefined || !link.isReached()) {
         return false;
       }
-      const status = yield* waitFor(link.askStatus());
+      const status = yield* waitFor(link.probeStatus());
       if (status?.role === 'primary') {
         return true;
       }
@@ -366,7 +366,7 @@
    */
   function* resumeReplication(until: Milliseconds): Task<void> {
     const replies = reachedLinks().map(link =>
-      link.order({kind: 'resume'}, ORDER_TIMEOUT_MS, until),
+      link.sendCommand({kind: 'resume'}, ORDER_TIMEOUT_MS, until),
     );
     for (const reply of replies) {
       yield* waitFor(reply);
--- a/packages/table-feed/__tests__/feed_fleet.ts
+++ b/packages/table-feed/__tests__/feed_fleet.ts
@@ -17,7 +17,7 @@
 
 import {
   IGNORED_FEED_EVENTS,
-  type PresentProxy,
+  type ProxyDescriptor,
   type TableFeed,
   createTableFeed,
 } from '..';
@@ -55,7 +55,7 @@
   proxiesWithUnreadableRow(): string[];
   /** Running proxies without the newest configuration. */
   outdated(): string[];
-  live(name: string): readonly PresentProxy[] | undefined;
+  live(name: string): readonly ProxyDescriptor[] | undefined;
   /** Time since a proxy's configuration was known to be up to date. */
   age(name: string): Milliseconds;
   /** Distributors of a data centre according to the store. */
@@ -160,7 +160,7 @@
       tables: [
         {
           table: CONFIGURATION_TABLE,
-          knownWithin: CONFIGURATION_STALENESS_BOUND_MS,
+          stalenessBound: CONFIGURATION_STALENESS_BOUND_MS,
           onRows: rows => recordConfiguration(name, rows),
         },
       ],
@@ -237,7 +237,7 @@
       timer.advance(REPLY_TIME_MS + 1);
       return [...distributorRows]
         .filter(([key]) => key.startsWith(`${dataCentre}/`))
-        .map(([, {value}]) => value as {distributor: PresentProxy})
+        .map(([, {value}]) => value as {distributor: ProxyDescriptor})
         .map(({distributor}) => distributor.proxy);
     },
     gaps: () => gaps,
--- a/packages/table-feed/__tests__/store_follower.spec.ts
+++ b/packages/table-feed/__tests__/store_follower.spec.ts
@@ -42,7 +42,7 @@
     };
     const copy = createTableCopy({
       table: TABLE,
-      knownWithin: 3 * SECOND_MS,
+      stalenessBound: 3 * SECOND_MS,
       onRows: () => {},
     });
     copy.take({table: TABLE, version: KNOWN_VERSION, rows: []});
--- a/packages/table-feed/__tests__/table_feed.spec.ts
+++ b/packages/table-feed/__tests__/table_feed.spec.ts
@@ -131,7 +131,7 @@
     for (const phase of PHASES_MS) {
       const fleet = startFleet(1);
       fleet.timer.advance(phase);
-      fleet.store.loseOpenQuestions();
+      fleet.store.dropPendingChangeRequests();
       expect({phase, outdated: configureAndWait(fleet)}).toEqual({
         phase,
         outdated: [],
@@ -177,7 +177,7 @@
     [
       'is partitioned from its subscribers in one direction',
       ({network, names, hostOf}, name) =>
-        network.cutGroups([hostOf(name)], names.map(hostOf), 'one-way'),
+        network.partitionGroups([hostOf(name)], names.map(hostOf), 'one-way'),
     ],
   ];
 
@@ -261,7 +261,7 @@
           fleet.dataCentreOf(name) === 'centre-1' && !before.includes(name),
       );
       const hosts = fleet.names.filter(name => name !== lone).map(fleet.hostOf);
-      fleet.network.cutGroups([fleet.hostOf(lone ?? '')], hosts);
+      fleet.network.partitionGroups([fleet.hostOf(lone ?? '')], hosts);
       const outdated = configureAndWait(
         fleet,
         PROPAGATION_BOUND_MS + SECOND_MS,
--- a/packages/table-feed/src/choose_sources.ts
+++ b/packages/table-feed/src/choose_sources.ts
@@ -10,7 +10,7 @@
 
 import {
   type DistributorRow,
-  type PresentProxy,
+  type ProxyDescriptor,
   SLOTS_PER_DATA_CENTRE,
 } from './distributor_row';
 
@@ -166,7 +166,7 @@
   others: readonly DistributorRow[],
   view: SlotView,
 ): boolean {
-  const isUnresponsive = ({address}: PresentProxy) =>
+  const isUnresponsive = ({address}: ProxyDescriptor) =>
     view.timeSinceFresh(address) > UNRESPONSIVE_SLOT_TIMEOUT_MS;
   // A partitioned proxy must not claim the slots of proxies that it can't
   // reach.
--- a/packages/table-feed/src/create_table_feed.ts
+++ b/packages/table-feed/src/create_table_feed.ts
@@ -20,7 +20,7 @@
   startupDelay,
 } from './choose_sources';
 import {startDistributorRole} from './distributor_role';
-import type {PresentProxy} from './distributor_row';
+import type {ProxyDescriptor} from './distributor_row';
 import type {TableFeedEvents} from './feed_events';
 import {createFeedServer} from './feed_server';
 import {
@@ -45,7 +45,7 @@
   readonly runtime: Runtime;
   readonly store: TableStore;
   readonly transport: Transport;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   /**
    * Relative capacity: proxies with a higher one become distributors sooner.
    */
@@ -70,14 +70,14 @@
    * Running proxies, including this one; the same array until they change. The
    * result is undefined while they aren't known.
    */
-  live(): readonly PresentProxy[] | undefined;
+  live(): readonly ProxyDescriptor[] | undefined;
   /**
    * Number of running and recently lost proxies; undefined while `live` returns
    * undefined.
    */
   fleetSize(): number | undefined;
   /** All distributors, in the same order on every proxy. */
-  distributors(): readonly PresentProxy[];
+  distributors(): readonly ProxyDescriptor[];
   /**
    * Time since the copy of a table was known to be up to date; `Infinity` if it
    * never was.
@@ -118,7 +118,7 @@
   const directory = createProxyDirectory({timer, self});
   const distributors = createTableCopy({
     table: distributorTable,
-    knownWithin: DISTRIBUTORS_STALENESS_BOUND_MS,
+    stalenessBound: DISTRIBUTORS_STALENESS_BOUND_MS,
     onRows(rows) {
       directory.updateRows(rows);
       server.publish();
@@ -140,7 +140,7 @@
   });
   /** Followers of the tables with the tightest staleness bounds come first. */
   const followers = [...copies]
-    .sort((left, right) => left.knownWithin - right.knownWithin)
+    .sort((left, right) => left.stalenessBound - right.stalenessBound)
     .map(followerOf);
   const role = startDistributorRole({
     runtime,
@@ -155,10 +155,14 @@
     timeSinceFresh: sources.timeSinceFresh,
   });
 
-  function copyOf({table, knownWithin: bound, onRows}: FeedTable): TableCopy {
+  function copyOf({
+    table,
+    stalenessBound: bound,
+    onRows,
+  }: FeedTable): TableCopy {
     return createTableCopy({
       table,
-      knownWithin: bound,
+      stalenessBound: bound,
       onRows(rows) {
         onRows(rows);
         server.publish();
--- a/packages/table-feed/src/distributor_role.ts
+++ b/packages/table-feed/src/distributor_role.ts
@@ -16,7 +16,7 @@
 import {
   type DistributorRow,
   type DistributorValue,
-  type PresentProxy,
+  type ProxyDescriptor,
   areSameProxies,
   isSameProxy,
   slotKey,
@@ -28,7 +28,7 @@
 export interface DistributorRoleOptions {
   readonly runtime: Runtime;
   readonly store: TableStore;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   /** Relative capacity: proxies with a higher one claim a free slot sooner. */
   readonly capacity: number;
   /** Copy of the distributor table. */
@@ -36,7 +36,7 @@
   /** Rows of this data centre. */
   rows(): readonly DistributorRow[];
   /** Proxies that are subscribed to this one. */
-  subscribers(): readonly PresentProxy[];
+  subscribers(): readonly ProxyDescriptor[];
   /** True if all table copies are fresh. */
   isFresh(): boolean;
   /** True if another proxy sends fresh updates. */
@@ -98,7 +98,7 @@
   let claim: Claim | undefined;
   let claimAt: Milliseconds | undefined;
   let heldSince: Milliseconds | undefined;
-  let previousSubscribers: readonly PresentProxy[] = [];
+  let previousSubscribers: readonly ProxyDescriptor[] = [];
   const recentMaximum = createRecentMaximum(timer, LOST_PROXY_RETENTION_MS);
   let nextWriteAt = -Infinity;
   let renewAt = Infinity;
@@ -191,7 +191,7 @@
    * Subscribers of this proxy and, during a takeover, of the slot's previous
    * owner.
    */
-  function currentSubscribers(): readonly PresentProxy[] {
+  function currentSubscribers(): readonly ProxyDescriptor[] {
     const isTakingOver =
       timer.now() - (heldSince ?? timer.now()) < TAKEOVER_PERIOD_MS;
     const proxies = new Map(
--- a/packages/table-feed/src/distributor_row.ts
+++ b/packages/table-feed/src/distributor_row.ts
@@ -17,7 +17,7 @@
   /** Address for relayed statements; empty if the proxy accepts none. */
   relayAddress: z.string(),
 });
-export type PresentProxy = z.infer<typeof proxyDescriptorSchema>;
+export type ProxyDescriptor = z.infer<typeof proxyDescriptorSchema>;
 
 /** Value of a row, written by the distributor. */
 const distributorValueSchema = z.object({
@@ -64,8 +64,8 @@
 /** All distributors and subscribers of the rows, by proxy name. */
 export function listProxiesByName(
   rows: readonly DistributorRow[],
-): Map<string, PresentProxy> {
-  const proxiesByName = new Map<string, PresentProxy>();
+): Map<string, ProxyDescriptor> {
+  const proxiesByName = new Map<string, ProxyDescriptor>();
   for (const {distributor, subscribers} of rows) {
     for (const proxy of [distributor, ...subscribers]) {
       proxiesByName.set(proxy.proxy, proxy);
@@ -95,8 +95,8 @@
 
 /** True if all fields of two descriptors are equal, not only the names. */
 export function isSameProxy(
-  left: PresentProxy,
-  right: PresentProxy | undefined,
+  left: ProxyDescriptor,
+  right: ProxyDescriptor | undefined,
 ): boolean {
   return (
     left.proxy === right?.proxy &&
@@ -109,8 +109,8 @@
 
 /** True if two lists hold equal descriptors in the same order. */
 export function areSameProxies(
-  left: readonly PresentProxy[],
-  right: readonly PresentProxy[],
+  left: readonly ProxyDescriptor[],
+  right: readonly ProxyDescriptor[],
 ): boolean {
   return (
     left.length === right.length &&
--- a/packages/table-feed/src/feed_server.ts
+++ b/packages/table-feed/src/feed_server.ts
@@ -12,7 +12,7 @@
 } from '@kelpstep/runtime';
 import {Ok} from 'ts-results';
 
-import type {PresentProxy} from './distributor_row';
+import type {ProxyDescriptor} from './distributor_row';
 import {
   FEED_UPDATE,
   type FeedMessage,
@@ -39,13 +39,13 @@
    */
   publish(): void;
   /** Proxies that subscribe to this one. */
-  subscribers(): readonly PresentProxy[];
+  subscribers(): readonly ProxyDescriptor[];
   close(): void;
 }
 
 interface Subscriber {
   readonly peer: RpcPeer;
-  readonly proxy: PresentProxy;
+  readonly proxy: ProxyDescriptor;
   /**
    * Versions of the subscriber's copies once all sent updates have arrived, by
    * table.
--- a/packages/table-feed/src/freshness.ts
+++ b/packages/table-feed/src/freshness.ts
@@ -9,7 +9,7 @@
  */
 export interface TableStalenessBound {
   readonly table: string;
-  readonly knownWithin: Milliseconds;
+  readonly stalenessBound: Milliseconds;
 }
 
 /** Latest time at which each table was known to be up to date. */
@@ -41,7 +41,7 @@
   age: (table: string) => Milliseconds,
 ): number {
   const ratios = bounds.map(
-    ({table, knownWithin: bound}) => age(table) / bound,
+    ({table, stalenessBound: bound}) => age(table) / bound,
   );
   return Math.max(...ratios);
 }
@@ -54,7 +54,7 @@
 
 /** Longest wait of a long poll for a table's changes. */
 export function longPollWait({
-  knownWithin: bound,
+  stalenessBound: bound,
 }: TableStalenessBound): Milliseconds {
   return Math.round(LONG_POLL_WAIT_RATIO * bound);
 }
--- a/packages/table-feed/src/proxy_directory.ts
+++ b/packages/table-feed/src/proxy_directory.ts
@@ -4,7 +4,7 @@
 
 import {
   type DistributorRow,
-  type PresentProxy,
+  type ProxyDescriptor,
   areSameProxies,
   countRecentProxies,
   listProxiesByName,
@@ -18,16 +18,16 @@
   updateRows(rows: TableRows): void;
   rows(): readonly DistributorRow[];
   /** All distributors, in the same order on every proxy. */
-  distributors(): readonly PresentProxy[];
+  distributors(): readonly ProxyDescriptor[];
   /** Proxies that are known to be running, including this one. */
-  listed(): readonly PresentProxy[];
+  listed(): readonly ProxyDescriptor[];
   /**
    * Running proxies, including this one; the same array until they change. The
    * result is undefined until this proxy is listed, because proxies that start
    * with it are then listed too, or until it has waited for that longer than
    * `LISTING_TIMEOUT_MS` after the first rows.
    */
-  live(): readonly PresentProxy[] | undefined;
+  live(): readonly ProxyDescriptor[] | undefined;
   /**
    * Number of running and recently lost proxies; undefined while `live` returns
    * undefined.
@@ -37,7 +37,7 @@
 
 export interface ProxyDirectoryOptions {
   readonly timer: TimerService;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
 }
 
 /** Average interval at which distributors renew unchanged rows. */
@@ -64,8 +64,8 @@
   const {timer, self} = options;
   const observedVersions = new Map<string, ObservedVersion>();
   let rows: readonly DistributorRow[] = [];
-  let distributors: readonly PresentProxy[] = [];
-  let list: readonly PresentProxy[] = [self];
+  let distributors: readonly ProxyDescriptor[] = [];
+  let list: readonly ProxyDescriptor[] = [self];
   let isListed = false;
   let knownSince: Milliseconds | undefined;
 
--- a/packages/table-feed/src/source_subscriptions.ts
+++ b/packages/table-feed/src/source_subscriptions.ts
@@ -6,7 +6,7 @@
 import type {Milliseconds, Runtime} from '@kelpstep/runtime';
 
 import {FRESHNESS_THRESHOLD_RATIO} from './choose_sources';
-import type {DistributorRow, PresentProxy} from './distributor_row';
+import type {DistributorRow, ProxyDescriptor} from './distributor_row';
 import {createConfirmations, stalenessOf} from './freshness';
 import {type Subscription, startSubscription} from './subscription';
 import type {TableCopy} from './table_copy';
@@ -14,13 +14,13 @@
 export interface SourceSubscriptionsOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   readonly copies: readonly TableCopy[];
   /** Fallback sources while no other distributor is known. */
   readonly seeds: readonly Address[];
   rows(): readonly DistributorRow[];
   /** Proxies that are known to be running. */
-  proxies(): readonly PresentProxy[];
+  proxies(): readonly ProxyDescriptor[];
   onSubscription(address: Address, isSubscribed: boolean, reason: string): void;
 }
 
--- a/packages/table-feed/src/store_follower.ts
+++ b/packages/table-feed/src/store_follower.ts
@@ -5,7 +5,7 @@
   type Runtime,
   type Task,
   type TaskHandle,
-  retryPause,
+  retryBackoff,
   sleep,
   waitFor,
 } from '@kelpstep/runtime';
@@ -91,7 +91,7 @@
       first: FIRST_RETRY_DELAY_MS,
       longest: options.maximumRetryDelay(),
     };
-    yield* sleep(retryPause(bounds, failures, random));
+    yield* sleep(retryBackoff(bounds, failures, random));
     failures += 1;
   }
 
--- a/packages/table-feed/src/subscription.ts
+++ b/packages/table-feed/src/subscription.ts
@@ -11,17 +11,17 @@
 } from '@kelpstep/rpc';
 import {
   type Milliseconds,
-  type RetryPauseBounds,
+  type RetryBackoffBounds,
   type Runtime,
   type Task,
-  retryPause,
+  retryBackoff,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   waitFor,
 } from '@kelpstep/runtime';
 import type {Result} from 'ts-results';
 
-import type {PresentProxy} from './distributor_row';
+import type {ProxyDescriptor} from './distributor_row';
 import {
   FEED_HEARTBEAT,
   FEED_UPDATE,
@@ -37,7 +37,7 @@
 export interface SubscriptionOptions {
   readonly runtime: Runtime;
   readonly transport: Transport;
-  readonly self: PresentProxy;
+  readonly self: ProxyDescriptor;
   readonly address: Address;
   readonly copies: readonly TableCopy[];
   onSubscriptionChange(isSubscribed: boolean, reason: string): void;
@@ -61,7 +61,7 @@
  * sends an update at least every `HEARTBEAT_PERIOD_MS`.
  */
 const UNRESPONSIVE_AFTER_MS: Milliseconds = 1500;
-const RETRY_DELAY_BOUNDS: RetryPauseBounds = {first: 80, longest: 800};
+const RETRY_DELAY_BOUNDS: RetryBackoffBounds = {first: 80, longest: 800};
 const NOT_NEEDED = 'not needed';
 
 export function startSubscription(options: SubscriptionOptions): Subscription {
@@ -115,7 +115,7 @@
   function* maintainConnection(peer: RpcPeer): Task<void> {
     while (!peer.closed.isSettled()) {
       peer.notify(FEED_HEARTBEAT, {});
-      yield* waitAtMost(peer.closed, HEARTBEAT_PERIOD_MS);
+      yield* waitWithTimeout(peer.closed, HEARTBEAT_PERIOD_MS);
       if (timer.now() - peer.lastHeardAt() > UNRESPONSIVE_AFTER_MS) {
         peer.close('silent');
       }
@@ -164,7 +164,7 @@
   function* maintainSubscription(): Task<void> {
     for (;;) {
       setSubscribed(false, yield* subscribe());
-      yield* sleep(retryPause(RETRY_DELAY_BOUNDS, failures, random));
+      yield* sleep(retryBackoff(RETRY_DELAY_BOUNDS, failures, random));
       failures += 1;
     }
   }
--- a/packages/table-feed/src/table_copy.ts
+++ b/packages/table-feed/src/table_copy.ts
@@ -46,7 +46,7 @@
 type IncrementalUpdate = TableUpdate & {readonly after: number};
 
 export function createTableCopy(options: TableCopyOptions): TableCopy {
-  const {table, knownWithin: bound} = options;
+  const {table, stalenessBound: bound} = options;
   const rows = new Map<string, StoredRow>();
   /** Consecutive updates without a gap, up to the current version. */
   let retainedUpdates: IncrementalUpdate[] = [];
@@ -105,7 +105,7 @@
 
   return {
     table,
-    knownWithin: bound,
+    stalenessBound: bound,
     rows: () => rows,
     version: () => version,
     take,
--- a/packages/targets/__tests__/group_positions.spec.ts
+++ b/packages/targets/__tests__/group_positions.spec.ts
@@ -109,7 +109,10 @@
     const positions = createPositionsWithLeader();
     positions.recordPosition('b', 100, at(1, 5));
     positions.recordPosition('b', 90, at(1, 2));
-    expect(positions.logOf('b')).toEqual({askedAt: 100, position: at(1, 5)});
+    expect(positions.logOf('b')).toEqual({
+      requestedAt: 100,
+      position: at(1, 5),
+    });
   });
 });
 
--- a/packages/targets/src/change_signal.ts
+++ b/packages/targets/src/change_signal.ts
@@ -6,7 +6,7 @@
   /** Settles at the next change. */
   next(): Future<undefined>;
   /** Wakes all tasks that wait for the next change. */
-  give(): void;
+  notify(): void;
 }
 
 /** Creates a signal for which no task waits. */
@@ -14,7 +14,7 @@
   let current = createDeferred<undefined>();
   return {
     next: () => current.future,
-    give() {
+    notify() {
       const previous = current;
       current = createDeferred<undefined>();
       previous.settle(undefined);
--- a/packages/targets/src/connection_shares.ts
+++ b/packages/targets/src/connection_shares.ts
@@ -21,7 +21,7 @@
 /**
  * Maximum number of connection owners of a target with this limit; at least 1.
  */
-export function mostHolders(connectionLimit: number): number {
+export function maximumOwnerCount(connectionLimit: number): number {
   const usable = connectionLimit * USABLE_CONNECTION_RATIO;
   return Math.max(1, Math.floor(usable / MINIMUM_CONNECTION_COUNT));
 }
--- a/packages/targets/src/group_positions.ts
+++ b/packages/targets/src/group_positions.ts
@@ -26,12 +26,12 @@
 /** Last known end of a target's log. */
 export interface TargetLog {
   /** Monotonic time when the request answered with `position` was sent. */
-  readonly askedAt: Milliseconds;
+  readonly requestedAt: Milliseconds;
   readonly position: LogPosition;
 }
 
 interface KnownStatus {
-  readonly askedAt: Milliseconds;
+  readonly requestedAt: Milliseconds;
   readonly status: TargetStatus;
 }
 
@@ -102,7 +102,7 @@
   function noLaterTermAppliedAt(target: string, term: number): Milliseconds {
     const log = logs.get(target);
     const hasNoLaterTerm = log !== undefined && log.position.term <= term;
-    return hasNoLaterTerm ? log.askedAt : -Infinity;
+    return hasNoLaterTerm ? log.requestedAt : -Infinity;
   }
 
   /**
@@ -115,7 +115,7 @@
       known !== undefined &&
       known.status.received.term <= term &&
       known.status.term <= term;
-    return hasNoLaterTerm ? known.askedAt : -Infinity;
+    return hasNoLaterTerm ? known.requestedAt : -Infinity;
   }
 
   function coverageByAllTargets(leader: Leadership): Milliseconds {
@@ -152,7 +152,7 @@
       coverageByAllTargets(leadership),
       coverageWithOneUnresponsive(leadership),
     );
-    const coveredAt = Math.min(log.askedAt, coverage);
+    const coveredAt = Math.min(log.requestedAt, coverage);
     return coveredAt === -Infinity
       ? undefined
       : {position: log.position, coveredAt};
@@ -194,13 +194,13 @@
     position: LogPosition,
   ): void {
     const known = logs.get(target);
-    if (known !== undefined && known.askedAt > requestedAt) {
+    if (known !== undefined && known.requestedAt > requestedAt) {
       return;
     }
     if (hasLostLog(target, position)) {
       leadership = undefined;
     }
-    logs.set(target, {askedAt: requestedAt, position});
+    logs.set(target, {requestedAt, position});
     storeSample();
   }
 
@@ -225,10 +225,10 @@
     status: TargetStatus,
   ): void {
     const known = statuses.get(target);
-    if (known !== undefined && known.askedAt > requestedAt) {
+    if (known !== undefined && known.requestedAt > requestedAt) {
       return;
     }
-    statuses.set(target, {askedAt: requestedAt, status});
+    statuses.set(target, {requestedAt, status});
     recordRole(target, status);
     storeSample();
   }
--- a/packages/targets/src/pinned_connection.ts
+++ b/packages/targets/src/pinned_connection.ts
@@ -16,7 +16,7 @@
 
 import type {SharedConnection} from './shared_connections';
 import {exchangeStatement} from './statement_exchange';
-import type {PinnedConnection, StatementWork} from './statement_request';
+import type {PinnedConnection, StatementRequest} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
 export interface PinnedConnectionOptions {
@@ -43,7 +43,7 @@
   let state: TransactionState = 'open';
 
   function* exchange(
-    statement: Pick<StatementWork, 'settings' | 'shape' | 'request'>,
+    statement: Pick<StatementRequest, 'settings' | 'shape' | 'request'>,
     timeout: Milliseconds,
     result: Deferred<Reply>,
   ): Task<void> {
--- a/packages/targets/src/shared_connections.ts
+++ b/packages/targets/src/shared_connections.ts
@@ -56,7 +56,7 @@
   /**
    * True while no connection is open and the target's limit prevents a new one.
    */
-  isShutOut(): boolean;
+  isStarved(): boolean;
   /** Closes the least recently used idle connection; false if none is idle. */
   evictIdle(): boolean;
   /** Opens a connection for the user, who has then taken it. */
@@ -187,7 +187,7 @@
     take,
     hasIdle: () => idle.length > 0,
     mayOpen,
-    isShutOut: () => all.size === 0 && options.timer.now() < atLimitUntil,
+    isStarved: () => all.size === 0 && options.timer.now() < atLimitUntil,
     evictIdle() {
       const [unused] = idle;
       unused?.connection.close();
--- a/packages/targets/src/statement_exchange.ts
+++ b/packages/targets/src/statement_exchange.ts
@@ -8,20 +8,20 @@
 import {
   type ConnectionLoss,
   type StatementAnswer,
-  noteApplied,
+  recordApplied,
   planDifference,
 } from '@kelpstep/statements';
 import {Err, Ok, type Result} from 'ts-results';
 
 import type {SharedConnection} from './shared_connections';
-import type {StatementWork} from './statement_request';
+import type {StatementRequest} from './statement_request';
 import type {WriteProgress} from './write_progress';
 
 /** A statement, and the connection on which it is sent. */
 export interface StatementExchange {
   readonly timer: TimerService;
   readonly shared: SharedConnection;
-  readonly statement: Pick<StatementWork, 'settings' | 'shape' | 'request'>;
+  readonly statement: Pick<StatementRequest, 'settings' | 'shape' | 'request'>;
   readonly timeout: Milliseconds;
   readonly isInTransaction: boolean;
   readonly writes: WriteProgress;
@@ -60,7 +60,7 @@
   const sent = connection.send([...setup, request], exchange.timeout);
   // The settings are recorded without waiting, because later requests on this
   // connection run after these.
-  noteApplied(applied, setup);
+  recordApplied(applied, setup);
   const endWrite = waitsForReplica(exchange.statement)
     ? exchange.writes.start()
     : undefined;
--- a/packages/targets/src/statement_request.ts
+++ b/packages/targets/src/statement_request.ts
@@ -12,7 +12,7 @@
 import type {Result} from 'ts-results';
 
 /** A statement outside a transaction, or the begin of one. */
-export interface StatementWork {
+export interface StatementRequest {
   /** Name of a class of statements with similar service times. */
   readonly kind: string;
   /** Relative value of an answer before the deadline. */
--- a/packages/targets/src/statement_runner.ts
+++ b/packages/targets/src/statement_runner.ts
@@ -5,7 +5,7 @@
 import {
   type AdmissionEntry,
   type AdmissionPolicies,
-  type AdmittedRun,
+  type RunningRequest,
   createAdmission,
 } from '@kelpstep/pool';
 import {createFailure} from '@kelpstep/protocol';
@@ -28,7 +28,7 @@
 import type {
   PinnedStart,
   StatementOutcome,
-  StatementWork,
+  StatementRequest,
 } from './statement_request';
 import type {WriteProgress} from './write_progress';
 
@@ -54,9 +54,9 @@
 
 /** Runs statements on one target, in the order of admission. */
 export interface StatementRunner {
-  run(statement: StatementWork): Future<StatementOutcome>;
+  run(statement: StatementRequest): Future<StatementOutcome>;
   /** Begins a transaction by `statement.request` and pins its connection. */
-  pin(statement: StatementWork): Future<PinnedStart>;
+  pin(statement: StatementRequest): Future<PinnedStart>;
   /** Predicted time until a statement of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
   /** Starts queued statements; call it when a connection becomes available. */
@@ -76,8 +76,8 @@
 });
 
 interface QueuedStatement extends AdmissionEntry {
-  readonly statement: StatementWork;
-  serve(run: AdmittedRun): Task<void>;
+  readonly statement: StatementRequest;
+  serve(run: RunningRequest): Task<void>;
 }
 
 type AcquireResult = Result<SharedConnection, OpenFailure>;
@@ -120,7 +120,7 @@
     }
   }
 
-  function* acquire(statement: StatementWork): Task<AcquireResult> {
+  function* acquire(statement: StatementRequest): Task<AcquireResult> {
     const idle = connections.take(statement.user, statement.settings);
     if (idle !== undefined) {
       return Ok(idle);
@@ -147,7 +147,7 @@
   function borrowControlConnection({
     request,
     user,
-  }: StatementWork): AcquireResult {
+  }: StatementRequest): AcquireResult {
     const mayBorrow = user === undefined && request.body.kind !== 'begin';
     const borrowed = mayBorrow ? controlConnection.borrow() : undefined;
     return borrowed === undefined ? Err('tooManyConnections') : Ok(borrowed);
@@ -161,7 +161,7 @@
     }
   }
 
-  function endRun(run: AdmittedRun, answer: StatementAnswer): void {
+  function endRun(run: RunningRequest, answer: StatementAnswer): void {
     const isBusy = answer.error?.name === 'busy';
     run.end(isBusy ? 'exhausted' : 'answered', answer.error !== undefined);
   }
@@ -177,8 +177,8 @@
   }
 
   function* attempt(
-    statement: StatementWork,
-    run: AdmittedRun,
+    statement: StatementRequest,
+    run: RunningRequest,
   ): Task<{outcome: StatementOutcome; shared?: SharedConnection}> {
     const acquired = yield* acquire(statement);
     if (acquired.err) {
@@ -213,8 +213,8 @@
   }
 
   function* serveStatement(
-    statement: StatementWork,
-    run: AdmittedRun,
+    statement: StatementRequest,
+    run: RunningRequest,
     result: Deferred<StatementOutcome>,
   ): Task<void> {
     const {outcome, shared} = yield* attempt(statement, run);
@@ -226,8 +226,8 @@
   }
 
   function* servePin(
-    statement: StatementWork,
-    run: AdmittedRun,
+    statement: StatementRequest,
+    run: RunningRequest,
     result: Deferred<PinnedStart>,
   ): Task<void> {
     const {outcome, shared} = yield* attempt(statement, run);
@@ -252,8 +252,8 @@
   }
 
   function admit(
-    statement: StatementWork,
-    serve: (run: AdmittedRun) => Task<void>,
+    statement: StatementRequest,
+    serve: (run: RunningRequest) => Task<void>,
     refuse: (retryAfter: Milliseconds) => void,
   ): void {
     arrivals += 1;
--- a/packages/targets/src/target_commands.ts
+++ b/packages/targets/src/target_commands.ts
@@ -13,8 +13,8 @@
   type OpenFailure,
   type StatementAnswer,
   type TargetConnection,
-  type TargetOrder,
-  noteApplied,
+  type TargetCommand,
+  recordApplied,
 } from '@kelpstep/statements';
 import {Err, Ok, type Result} from 'ts-results';
 
@@ -52,7 +52,7 @@
    * `Infinity` by default.
    */
   execute(
-    command: TargetOrder,
+    command: TargetCommand,
     timeout: Milliseconds,
     sendUntil?: Milliseconds,
   ): Future<CommandReply>;
@@ -66,7 +66,7 @@
   const {timer} = runtime;
 
   function* sendOnce(
-    command: TargetOrder,
+    command: TargetCommand,
     timeout: Milliseconds,
     sendUntil: Milliseconds,
   ): Task<CommandReply> {
@@ -84,7 +84,7 @@
     const request = {body: command};
     const requestedAt = timer.now();
     const sent = connection.send([request], timeout);
-    noteApplied(applied, [request]);
+    recordApplied(applied, [request]);
     const reply = yield* waitFor(sent);
     if (reply.err) {
       return handleLoss(connection, reply.val);
@@ -114,7 +114,7 @@
    * because the loss may concern the connection only.
    */
   function* sendWithRetry(
-    command: TargetOrder,
+    command: TargetCommand,
     timeout: Milliseconds,
     sendUntil: Milliseconds,
     result: Deferred<CommandReply>,
--- a/packages/targets/src/target_group.ts
+++ b/packages/targets/src/target_group.ts
@@ -8,8 +8,8 @@
   type Milliseconds,
   type Runtime,
   type Task,
-  createSuspensionGuard,
-  waitAtMost,
+  createSuspensionDetector,
+  waitWithTimeout,
 } from '@kelpstep/runtime';
 import type {
   OpenTargetConnection,
@@ -38,7 +38,7 @@
   readonly policies: AdmissionPolicies;
   readonly events: TargetGroupEvents;
   /** Number of connection owners; `Infinity` while it is unknown. */
-  holders(): number;
+  ownerCount(): number;
 }
 
 /** The targets of a group, as far as they are known to this proxy. */
@@ -78,7 +78,7 @@
 }
 
 /** Interval at which `TargetGroup.tick` is called. */
-export const TICK_PERIOD: Milliseconds = 100;
+export const TICK_PERIOD_MS: Milliseconds = 100;
 /**
  * Age of a target's newest known state at which it is probed. It is well below
  * the shortest staleness bound of routes, so that recent samples are available.
@@ -113,7 +113,7 @@
   const positions = createGroupPositions();
   const changes = createChangeSignal();
   const members = new Map<string, Member>();
-  const suspension = createSuspensionGuard(timer);
+  const suspension = createSuspensionDetector(timer);
   let settings: GroupSettings = {
     group: options.group,
     connectionLimit: 1,
@@ -123,7 +123,7 @@
   let reportedLeader = '';
 
   function share(): number {
-    return connectionsPerOwner(settings.connectionLimit, options.holders());
+    return connectionsPerOwner(settings.connectionLimit, options.ownerCount());
   }
 
   function reportLeader(): void {
@@ -146,16 +146,16 @@
       policies: options.policies,
       onPosition(requestedAt, position) {
         positions.recordPosition(target, requestedAt, position);
-        changes.give();
+        changes.notify();
       },
       onStatus(requestedAt, status) {
         positions.recordStatus(target, requestedAt, status);
         reportLeader();
-        changes.give();
+        changes.notify();
       },
       onReachability(isReached, reason) {
         events.onReachability(target, isReached, reason);
-        changes.give();
+        changes.notify();
       },
     });
     members.set(target, {link, missingSince: undefined});
@@ -189,7 +189,7 @@
     member.link.update(registration);
     const isLeader = positions.leader()?.target === target;
     if (hasChangedRole && (isLeader || registration.role === 'primary')) {
-      void member.link.askStatus();
+      void member.link.probeStatus();
     }
   }
 
@@ -223,7 +223,7 @@
       }
     }
     setTargets();
-    changes.give();
+    changes.notify();
     if (members.size > before) {
       // New targets are probed at once, because nothing is served after a start
       // until their state is known.
@@ -251,7 +251,7 @@
     for (const link of links()) {
       void link.probePosition();
       if (needsStatus && link.isReached()) {
-        void link.askStatus();
+        void link.probeStatus();
       }
     }
   }
@@ -286,11 +286,11 @@
     const now = timer.now();
     for (const link of links()) {
       link.trim();
-      if (now - link.lastAskedAt() >= PROBE_INTERVAL_MS) {
+      if (now - link.lastContactAt() >= PROBE_INTERVAL_MS) {
         void link.probePosition();
       }
     }
-    findPossibleLeaders().forEach(link => void link.askStatus());
+    findPossibleLeaders().forEach(link => void link.probeStatus());
     const isCoverageStale = now - positions.coveredAt() > 2 * PROBE_INTERVAL_MS;
     if (isCoverageStale && hasUnresponsiveTarget() && mayStartProbeRound()) {
       startProbeRound();
@@ -298,7 +298,7 @@
   }
 
   function checkSuspension(): void {
-    if (suspension.hasSlept()) {
+    if (suspension.wasSuspended()) {
       positions.discardAll();
     }
   }
@@ -320,7 +320,7 @@
       if (probeRoundStartedAt < time && mayStartProbeRound()) {
         startProbeRound();
       }
-      yield* waitAtMost(
+      yield* waitWithTimeout(
         changes.next(),
         Math.min(remaining, PROBE_ROUND_INTERVAL_MS),
       );
--- a/packages/targets/src/target_link.ts
+++ b/packages/targets/src/target_link.ts
@@ -18,7 +18,7 @@
   OpenedConnection,
   ReadTargetStatus,
   StatementAnswer,
-  TargetOrder,
+  TargetCommand,
   TargetStatus,
 } from '@kelpstep/statements';
 import {Err} from 'ts-results';
@@ -30,7 +30,7 @@
 import type {
   PinnedStart,
   StatementOutcome,
-  StatementWork,
+  StatementRequest,
 } from './statement_request';
 import {type CommandReply, createTargetCommands} from './target_commands';
 import {createWriteProgress} from './write_progress';
@@ -62,15 +62,15 @@
   readonly target: string;
   registration(): TargetRegistration;
   update(registration: TargetRegistration): void;
-  run(statement: StatementWork): Future<StatementOutcome>;
+  run(statement: StatementRequest): Future<StatementOutcome>;
   /** Begins a transaction by `statement.request` and pins its connection. */
-  pin(statement: StatementWork): Future<PinnedStart>;
+  pin(statement: StatementRequest): Future<PinnedStart>;
   /**
    * Sends a command on the control connection. `timeout` bounds the wait for
    * its answer after it was sent.
    */
-  order(
-    command: TargetOrder,
+  sendCommand(
+    command: TargetCommand,
     timeout: Milliseconds,
     /**
      * Monotonic time after which the command is not sent; `Infinity` by
@@ -84,7 +84,7 @@
    * Probes the target's role, term and received log; undefined without a valid
    * answer.
    */
-  askStatus(): Future<TargetStatus | undefined>;
+  probeStatus(): Future<TargetStatus | undefined>;
   /** Predicted time until a statement of this kind is answered. */
   expectedTime(kind: string): Milliseconds;
   /**
@@ -98,18 +98,18 @@
    * Monotonic time since which the target is unresponsive; undefined while it
    * is reachable.
    */
-  silentSince(): Milliseconds | undefined;
+  unresponsiveSince(): Milliseconds | undefined;
   /**
    * Monotonic time when the newest answered request was sent; `-Infinity`
    * without one.
    */
-  lastAskedAt(): Milliseconds;
+  lastContactAt(): Milliseconds;
   /**
    * True while this proxy has no open statement connection and the target's
    * connection limit prevents a new one. Always false for the proxy itself
    * (`user` undefined), which can use the control connection.
    */
-  isShutOut(user: ConnectionUser): boolean;
+  isStarved(user: ConnectionUser): boolean;
   /**
    * Monotonic time of the last answer to a write, or of sending the oldest
    * pending write if that is later; undefined if no write is pending.
@@ -237,7 +237,7 @@
   }
 
   function sendCommand(
-    command: TargetOrder,
+    command: TargetCommand,
     timeout: Milliseconds,
     sendUntil?: Milliseconds,
   ): Future<CommandReply> {
@@ -262,20 +262,20 @@
     },
     run: runner.run,
     pin: runner.pin,
-    order: sendCommand,
+    sendCommand,
     probePosition: () =>
       mapFuture(
         sendCommand({kind: 'reset'}, CONTROL_TIMEOUT_MS),
         reply => reply.ok,
       ),
-    askStatus: probeStatus,
+    probeStatus,
     expectedTime: runner.expectedTime,
     roundTrip: () => shortestRoundTrip,
     isReached: () => unresponsiveSince === undefined,
-    silentSince: () => unresponsiveSince,
-    lastAskedAt: () => lastContactAt,
+    unresponsiveSince: () => unresponsiveSince,
+    lastContactAt: () => lastContactAt,
     // The proxy itself can fall back to the control connection.
-    isShutOut: user => user !== undefined && connections.isShutOut(),
+    isStarved: user => user !== undefined && connections.isStarved(),
     writesStalledSince: writes.stalledSince,
     trim: connections.trim,
     close() {
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -10,7 +10,7 @@
 /** Names of the failed tests of a run. */
 export interface RunFailures {
   /** Failed tests that KNOWN-RED.txt lists. */
-  readonly knownRed: readonly string[];
+  readonly expected: readonly string[];
   /** Failed tests that KNOWN-RED.txt does not list. */
   readonly unexpected: readonly string[];
 }
@@ -20,7 +20,7 @@
  * name in double quotes. Empty lines and lines that begin with # are ignored.
  * Throws if there are too many entries or if one has no name.
  */
-export function readKnownRed(text: string): string[] {
+export function readKnownFailures(text: string): string[] {
   const lines = text
     .split('\n')
     .filter(line => line.trim() !== '' && !line.startsWith('#'));
@@ -62,10 +62,13 @@
 }
 
 /** Splits the failures of a run into listed and unlisted tests. */
-export function judgeRun(tap: string, listed: readonly string[]): RunFailures {
+export function classifyFailures(
+  tap: string,
+  listed: readonly string[],
+): RunFailures {
   const failures = findFailures(tap);
   return {
-    knownRed: failures.filter(name => listed.includes(name)),
+    expected: failures.filter(name => listed.includes(name)),
     unexpected: failures.filter(name => !listed.includes(name)),
   };
 }
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -6,7 +6,7 @@
 import {existsSync, readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
 
-import {judgeRun, readKnownRed} from './known_red';
+import {classifyFailures, readKnownFailures} from './known_red';
 
 const TEST_ROOTS = ['packages', 'platform'];
 const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
@@ -23,13 +23,16 @@
 
 function readListedTests(): string[] {
   return existsSync(KNOWN_FAILURES_FILE)
-    ? readKnownRed(readFileSync(KNOWN_FAILURES_FILE, 'utf8'))
+    ? readKnownFailures(readFileSync(KNOWN_FAILURES_FILE, 'utf8'))
     : [];
 }
 
 /** Returns the exit code of a run: 0 also if only listed tests failed. */
 function computeExitCode(tap: string, code: number | null): number {
-  const {knownRed, unexpected} = judgeRun(tap, readListedTests());
+  const {expected: knownRed, unexpected} = classifyFailures(
+    tap,
+    readListedTests(),
+  );
   for (const name of knownRed) {
     process.stdout.write(`# KNOWN RED, failed: ${name}\n`);
   }
