--- a/packages/failover/__tests__/cluster.ts
+++ b/packages/failover/__tests__/cluster.ts
@@ -208,7 +208,7 @@
 
   function settle(condition: () => boolean, limit = 30_000): void {
     if (!timer.runUntil(condition, limit)) {
-      throw new Error('The condition was not met within the time limit.');
+      throw new Error(`The condition was not met within ${limit} ms.`);
     }
   }
 
