--- a/packages/bench/src/slopes/series.ts
+++ b/packages/bench/src/slopes/series.ts
@@ -1,4 +1,7 @@
-/** Series of measured points and fitted lines, as text tables and JSON lines. */
+/**
+ * Series of measured points and fitted lines, as text tables and JSON lines. The
+ * slope of a line is the growth of a cost per unit of load or size.
+ */
 import {fitLine} from './least_squares';
 
 /** Measured values by name at one size. */
--- a/packages/failover/src/reconnect_backoff.ts
+++ b/packages/failover/src/reconnect_backoff.ts
@@ -1,11 +1,10 @@
-/** Computes the backoff between attempts to connect to a member. */
 import {type Milliseconds, type Random, retryBackoff} from '@kelpstep/runtime';
 
 import type {FailoverTimings} from './timings';
 
 /**
- * Returns a backoff that doubles with each failure up to the limit and varies
- * randomly.
+ * Returns the backoff before the next attempt to connect to a member. It doubles
+ * with each failure up to the limit and varies randomly.
  */
 export function reconnectBackoff(
   timings: FailoverTimings,
--- a/packages/manifest/src/manifest_synchronizer.ts
+++ b/packages/manifest/src/manifest_synchronizer.ts
@@ -76,7 +76,8 @@
   /** Registers a listener that is called with each manifest put in force. */
   onChange(listener: (manifest: AcceptedManifest) => void): Unsubscribe;
   /**
-   * Puts a manifest in force if it is valid and newer; returns whether it did.
+   * Validates a manifest that is newer than the one in force, puts it in force
+   * and notifies the listeners. Returns false if it is not newer or not valid.
    */
   offer(offered: OfferedManifest): boolean;
   /** Notes the version of a peer. A newer one is fetched from that peer. */
--- a/packages/manifest/src/retrying_calls.ts
+++ b/packages/manifest/src/retrying_calls.ts
@@ -1,4 +1,4 @@
-/** Service calls that are retried until a deadline. */
+/** Calls to the platform, with or without retries, until a deadline. */
 import {Failure, createFailure} from '@kelpstep/protocol';
 import {
   Future,
@@ -15,10 +15,13 @@
 
 /** Calls that share a deadline. */
 export interface RetryingCalls {
-  /** Calls once; the call fails with `PLATFORM_UNAVAILABLE` at the deadline. */
+  /**
+   * Calls once, without retries; the call fails with `PLATFORM_UNAVAILABLE` at
+   * the deadline.
+   */
   once<T>(call: ServiceCall<T>): Task<Result<T, Failure>>;
   /**
-   * Repeats an idempotent call while the service is unavailable, until the
+   * Repeats an idempotent call while the platform is unavailable, until the
    * deadline.
    */
   retry<T>(call: ServiceCall<T>): Task<Result<T, Failure>>;
--- a/packages/membership/src/create_membership.ts
+++ b/packages/membership/src/create_membership.ts
@@ -35,7 +35,7 @@
 import {serveExchanges} from './serve_exchanges';
 
 /**
- * Settings of a membership. Without `paceBase`, `DEFAULT_BASE_TIMING` applies.
+ * Settings of a membership. Without `baseTiming`, `DEFAULT_BASE_TIMING` applies.
  */
 export interface MembershipOptions {
   readonly runtime: Runtime;
--- a/packages/pool/src/pool_types.ts
+++ b/packages/pool/src/pool_types.ts
@@ -31,6 +31,10 @@
 export interface RequestAttributes {
   /** Groups requests of similar service time. */
   readonly kind: string;
+  /**
+   * Relative value of an answer before the deadline, without a unit.
+   * `VALUE_PER_SLOT_TIME` serves the highest value per expected slot time first.
+   */
   readonly worth: number;
   /** Monotonic time by which the target must have answered. */
   readonly deadline: Milliseconds;
--- a/packages/request-ledger/src/transaction_id.ts
+++ b/packages/request-ledger/src/transaction_id.ts
@@ -15,7 +15,7 @@
   readonly group: string;
   /** Wall clock at the begin, in milliseconds since 1970. */
   readonly begunAt: Milliseconds;
-  /** Random part of the id: `NONCE_DIGITS` hexadecimal digits. */
+  /** Random part of the id: `NONCE_DIGIT_COUNT` hexadecimal digits. */
   readonly nonce: string;
 }
 
--- a/packages/scenarios/__tests__/quotas.spec.ts
+++ b/packages/scenarios/__tests__/quotas.spec.ts
@@ -21,7 +21,7 @@
 const COORDINATOR_COUNT = 3;
 
 const QUOTA: QuotaLimit = {rate: 12, burst: 12};
-/** Far more than the callers request. */
+/** Quota in operations per second, far above what the callers request. */
 const AMPLE_QUOTA: QuotaLimit = {rate: 1000, burst: 1000};
 const BUSY_ACCOUNT = 'account-1';
 const OTHER_ACCOUNT = 'account-2';
--- a/packages/statements/src/session_settings.ts
+++ b/packages/statements/src/session_settings.ts
@@ -11,7 +11,7 @@
   readonly values: Map<string, string>;
   /**
    * Prepared statements: by the session's names for them in a session, by
-   * `sharedName` on a connection.
+   * `sharedStatementName` on a connection.
    */
   readonly prepared: Map<string, PreparedShape>;
 }
--- a/packages/targets/src/control_connection.ts
+++ b/packages/targets/src/control_connection.ts
@@ -23,8 +23,10 @@
 import type {SharedConnection} from './shared_connections';
 
 /**
- * Timeout for opening, which takes a round trip and connection set-up in a slot
- * of the target. The target is considered unresponsive after this time.
+ * Timeout for opening, which takes a round trip and the connection set-up at the
+ * target. The set-up occupies one of the few slots in which the target runs
+ * statements concurrently, and may have to wait for a free one. The target is
+ * considered unresponsive after this time.
  */
 const OPEN_TIMEOUT_MS: Milliseconds = 350;
 
--- a/packages/targets/src/target_group.ts
+++ b/packages/targets/src/target_group.ts
@@ -71,7 +71,7 @@
   readonly changes: ChangeSignal;
   /**
    * Probes targets whose state is out of date; to be called every
-   * `TICK_PERIOD`.
+   * `TICK_PERIOD_MS`.
    */
   tick(): void;
   close(): void;
